--- a/src/martenrun/router/admission.py
+++ b/src/martenrun/router/admission.py
@@ -1,4 +1,4 @@
-"""Whether a caller's request may be served, decided from what is known and how old that is."""
+"""Decides whether a caller's request is served, by the configuration in force and its age."""
 
 import attrs
 
@@ -10,36 +10,39 @@
 from martenrun.router.world import World
 
 KEY_AGE_MARGIN_S = 0.3
-"""How long before the bound on revoked keys knowledge counts as too old, in seconds."""
+"""Margin before the bound on revoked keys at which API keys count as too old, in seconds."""
 
 BEHIND_MARGIN_S = 0.5
-"""How long before the bound on changes a router that is behind serves no more, in seconds.
+"""Margin before the bound on configuration changes at which a lagging router stops serving.
 
-It hears of a newer version some tenths of a second after the first router has it, and a request
-may wait as long before it is sent on.
+In seconds.  A router learns of a newer version some tenths of a second after the first router has
+it, and a request may wait as long before it is forwarded.
 """
 
 NO_DEADLINE_S = 30.0
-"""Deadline of callers that name none, in seconds."""
+"""Deadline of requests without one, in seconds."""
 
 
 @attrs.frozen
 class Refusal:
-    """A final answer in place of a forwarded request; 503 tells when to come back."""
+    """The final response to a request that is not forwarded; 503 includes ``Retry-After``."""
 
     status: int
     reason: str
 
 
 class Admission:
-    """Admits requests; what would be denied is looked at again with fresh knowledge."""
+    """Admits or refuses requests by the configuration that this router has now.
+
+    :mod:`martenrun.router.denials` checks refusals again after the configuration is read anew.
+    """
 
     def __init__(self, world: World) -> None:
         self._world = world
         self._splits = SplitCounter()
 
     def read(self, exchange: Exchange) -> Call | Refusal:
-        """Read a request; what cannot be understood is refused with 400."""
+        """Parse a request; refuse a malformed one with 400."""
         try:
             call = self._world.dialect.read_call(exchange.request)
         except (ValueError, UnicodeError):
@@ -47,7 +50,7 @@
         return call if call.request_id else Refusal(400, "no_request_id")
 
     def decide(self, exchange: Exchange, call: Call) -> Admitted | Refusal:
-        """Admit a request by what is known now."""
+        """Admit or refuse a request by the current configuration."""
         now = self._world.loop.now()
         table = self._world.configuration.table
         if table is None:
@@ -77,7 +80,7 @@
         )
 
     def _is_behind(self, now: float) -> bool:
-        """Whether a newer configuration should be in force here by now."""
+        """Return whether a newer configuration should have been applied here by now."""
         bound_s = self._world.settings.bounds.configuration_s - BEHIND_MARGIN_S
         return self._world.configuration.behind_s(now) > bound_s
 
@@ -93,7 +96,7 @@
 
 
 def refuse(exchange: Exchange, refusal: Refusal, call: Call | None) -> None:
-    """Give the final answer of a request that is not forwarded."""
+    """Send the final response to a request that is not forwarded."""
     headers = (
         [(b"Retry-After", b"%.2f" % DEFAULTS.forwarding.retry_after_s)]
         if refusal.status == 503
--- a/src/martenrun/router/loads.py
+++ b/src/martenrun/router/loads.py
@@ -1,9 +1,10 @@
-"""What all routers together have given each runner to do.
+"""Exchanges the load that each router puts on each runner.
 
-Loads travel in the routers' records.  Prompts are read in a fraction of the time between two
-records, so a router that gives a runner much to read tells others at once: else two long prompts
-meet at one runner, and the streams that run there pause.  Among very many routers those of other
-zones are told of in sums (:mod:`martenrun.router.zone_loads`).
+Routers include their loads in their gossiped records.  A prompt is prefilled in a fraction of the
+time between two records, so a router that sends a long prompt to a runner broadcasts that at once.
+Otherwise a second long prompt may be sent to the same runner, and the streams that run there stall.
+In large deployments the loads of other zones are received as sums
+(:mod:`martenrun.router.zone_loads`).
 """
 
 from collections.abc import Iterable
@@ -22,17 +23,17 @@
 )
 
 TOLD_AT_ONCE_TOKENS = 1_000
-"""Change of the tokens to be read at a runner that all other routers are told at once."""
+"""Change of a runner's pending prefill that is broadcast to the other routers, in tokens."""
 
 READING_TOLD_AGAIN_S = 1.2
-"""Time after which a prompt that is still read is told of again, in seconds.
+"""Interval at which a prefill that is still pending is reported again, in seconds.
 
-Twice within the time for which others believe it, so that one datagram may be lost.
+Short enough for two reports within the time for which they are valid, so that one may be lost.
 """
 
 
 class LoadExchange:
-    """Tells other routers of this one's loads, and takes in theirs."""
+    """Sends the loads of this router to other routers and merges theirs."""
 
     def __init__(self, pool: RunnerPool, peers: Peers) -> None:
         self._pool = pool
@@ -44,7 +45,7 @@
         self._to_pass_on: ZoneSums = {}
 
     def own_loads(self) -> dict[str, RunnerLoad]:
-        """Return what this router has given each runner to do."""
+        """Return the load that this router puts on each runner."""
         return {
             state.runner.instance: _own_load(state)
             for state in self._pool.all_states()
@@ -52,13 +53,13 @@
         }
 
     def note_reading(self, state: RunnerState) -> None:
-        """Take in that this router's tokens to be read at a runner have changed."""
+        """Broadcast this router's pending prefill at a runner if it has changed enough."""
         if abs(state.reading - state.reading_told) < TOLD_AT_ONCE_TOKENS:
             return
         self._tell_reading(state)
 
     def tell_again(self) -> None:
-        """Tell again of prompts that are read for long: others believe it for a while only."""
+        """Repeat reports of prefills that take long, as other routers let reports expire."""
         long_ago = self._peers.now() - READING_TOLD_AGAIN_S
         for state in self._pool.all_states():
             if state.reading >= TOLD_AT_ONCE_TOKENS and state.reading_told_at < long_ago:
@@ -70,7 +71,7 @@
         self._peers.tell_reading(state.runner.instance, _own_load(state))
 
     def take_records(self) -> None:
-        """Take in the loads of all live routers."""
+        """Recompute the load of every runner from the records of all live routers."""
         self._outdated.clear()
         records = self._peers.live()
         self._tellers = zone_tellers([self._peers.own, *records]) if self._uses_sums else {}
@@ -79,14 +80,18 @@
             self._add_up(state, records)
 
     def take_reading(self, instance: str) -> None:
-        """Take in that another router's load at one runner has changed.
+        """Record that another router's load on a runner has changed.
 
-        Sums are made anew by :meth:`refresh`: among many routers far more is told than placed.
+        The sums are recomputed by :meth:`refresh`, because with many routers there are far more
+        reports than placements.
         """
         self._outdated.add(instance)
 
     def take_sums(self, news: ZoneLoads) -> None:
-        """Take in sums over other zones; those told by another zone's teller are passed on."""
+        """Merge the sums of other zones, and keep those to forward within this zone.
+
+        Sums received from another zone's reporter are forwarded, forwarded ones are not.
+        """
         for zone, sums in news.zones.items():
             if zone == self._peers.own.zone:
                 continue
@@ -96,7 +101,7 @@
                 self._to_pass_on.setdefault(zone, {}).update(sums)
 
     def refresh(self) -> None:
-        """Make the sums current; called before a request is placed."""
+        """Recompute outdated sums; called before a request is placed."""
         if not self._outdated:
             return
         records = self._peers.live()
@@ -107,7 +112,7 @@
         self._outdated.clear()
 
     def tell_sums(self) -> float:
-        """Tell what is due between zones; return after how many seconds to do so again."""
+        """Send the sums that are due between zones; return the seconds until the next call."""
         own = self._peers.own
         if self._to_pass_on:
             passed_on = ZoneLoads(self._to_pass_on, is_passed_on=True)
@@ -130,7 +135,7 @@
         return [record.address for record in self._peers.live() if record.zone == own.zone]
 
     def _add_up(self, state: RunnerState, records: Iterable[RouterRecord]) -> None:
-        """Set what a runner does for other routers to the sum of what these tell."""
+        """Set the load that other routers put on a runner to the sum of their reports."""
         instance = state.runner.instance
         requests = reading = held = 0
         for record in records:
--- a/src/martenrun/router/overload.py
+++ b/src/martenrun/router/overload.py
@@ -1,10 +1,10 @@
-"""Whether a service is too busy for one more prompt, and whose prompts then wait.
+"""Load shedding: decides whether a service can take one more prompt.
 
-Runners read prompts in turn.  A prompt sent to a runner with much to read is late whatever
-happens, makes those behind it late, and holds up the streams that run there.  So a prompt is only
-sent while the best runner can begin to read it soon; the less urgent its route, the sooner that
-must be.  Kinds of requests and tenants of which far fewer are taken than of all others go before
-the urgent ones.
+Runners prefill prompts one after the other.  A prompt sent to a runner with a long backlog misses
+its objective, delays the prompts behind it and stalls the streams that run there.  A prompt is
+therefore only sent if the best runner can start its prefill soon; the less urgent the route, the
+shorter the allowed wait.  To prevent starvation, routes and tenants with a far lower share of
+admitted requests than the average are allowed a longer wait than urgent routes.
 """
 
 import math
@@ -23,14 +23,14 @@
 
 @attrs.define
 class TakenCount:
-    """How many requests were asked and taken lately, faded."""
+    """Exponentially decayed counts of requested and admitted requests."""
 
     asked: float = 0.0
     taken: float = 0.0
     counted_at: float = 0.0
 
     def fade(self, now: float, time_constant_s: float) -> None:
-        """Let what was counted fade until now."""
+        """Decay the counts to the current time."""
         kept = math.exp((self.counted_at - now) / time_constant_s)
         self.asked *= kept
         self.taken *= kept
@@ -38,19 +38,19 @@
 
     @property
     def share(self) -> float:
-        """Part of the requests that was taken."""
+        """Share of the requests that were admitted."""
         return self.taken / self.asked if self.asked else 1.0
 
 
 @attrs.frozen
 class WaitingPrompt:
-    """A prompt that asks for a runner.
+    """A prompt that waits to be sent to a runner.
 
     Attributes:
         objective_s: latency objective of its route, in seconds.
         is_urgent: whether no route of the service is more urgent.
-        groups: the kind and the tenant that it belongs to.
-        tokens_ahead: what the best runner has to read before it, in tokens.
+        groups: names of its route and its tenant, by which requests are counted.
+        tokens_ahead: pending prefill of the best runner, in tokens.
     """
 
     objective_s: float
@@ -60,7 +60,7 @@
 
 
 class OverloadGuard:
-    """Decides for one service; learns from what is asked, taken and read."""
+    """Load shedding of one service, based on its recent requests and prefill rate."""
 
     def __init__(self, figures: OverloadFigures = DEFAULTS.overload) -> None:
         self._figures = figures
@@ -71,21 +71,21 @@
         self.retry_turns = RetryTurns()
 
     def note_asked(self, groups: Collection[str], now: float) -> None:
-        """Count a request that callers sent."""
+        """Count a request from a caller."""
         for count in self._counts(groups, now):
             count.asked += 1
 
     def note_taken(self, groups: Collection[str], now: float) -> None:
-        """Count a request that was sent to a runner."""
+        """Count a request that is sent to a runner."""
         for count in self._counts(groups, now):
             count.taken += 1
 
     def wait_s(self, tokens_ahead: float) -> float:
-        """Return how long a runner reads so many tokens, in seconds; 0 while that is unknown."""
+        """Return the prefill time of that many tokens, in seconds; 0 while the rate is unknown."""
         return self.speed.seconds_for(tokens_ahead) or 0.0
 
     def takes(self, prompt: WaitingPrompt, now: float) -> bool:
-        """Whether a prompt may be sent to the best runner now."""
+        """Return whether a prompt may be sent to the best runner now."""
         wait_s = self.wait_s(prompt.tokens_ahead)
         figures = self._figures
         share = figures.urgent_share if prompt.is_urgent else figures.others_share
@@ -96,15 +96,15 @@
         return self.is_behind(prompt.groups, now)
 
     def note_urgent_refused(self, now: float) -> None:
-        """Record that a most urgent request was refused because of runners' rate limits."""
+        """Record that a request of the most urgent routes was refused because of rate limits."""
         self._urgent_refused_at = now
 
     def has_refused_urgent(self, now: float) -> bool:
-        """Whether a most urgent request was refused recently because of runners' rate limits."""
+        """Return whether an urgent request was refused recently because of rate limits."""
         return now - self._urgent_refused_at < URGENT_PRIORITY_S
 
     def is_behind(self, groups: Collection[str], now: float) -> bool:
-        """Whether far fewer requests of a group were taken lately than of all."""
+        """Return whether a group's admitted share is far below that of all requests."""
         common = self._all.share
         return any(
             count.asked >= self._figures.least_asked
--- a/src/martenrun/router/placement.py
+++ b/src/martenrun/router/placement.py
@@ -1,9 +1,9 @@
-"""Which runner serves a request: by what it must still read, kept prefix, weights and failures.
+"""Chooses the runner for a request by pending prefill, cached prefixes, weights and failures.
 
-Every router places by itself.  A runner costs what it has still to read before a new request plus
-what it would have to read of that one, in prompt tokens.  Rendezvous hashing of the last shared
-part of a prompt names the runner that all routers presume to keep it; others cost more, by what
-is believed of them and of the kept-cache store.
+Every router places on its own.  The cost of a runner, in prompt tokens, is its pending prefill plus
+the part of the new prompt that is not in its cache.  Rendezvous hashing of the last shared part of
+a prompt selects the runner that all routers assume to have that prefix cached.  Other runners cost
+more, depending on which parts they and the KV cache store are assumed to hold.
 """
 
 from collections.abc import Collection, Sequence
@@ -17,25 +17,25 @@
 from martenrun.router.seen_parts import SeenParts
 
 REMEMBERED_ORDERS = 512
-"""Orders of runners kept, by prefix."""
+"""Maximum number of cached rankings of runners; one for each prefix and set of runners."""
 
 
 @attrs.frozen
 class PlacementQuestion:
-    """What is asked of a placement.
+    """The properties of a request that determine its placement.
 
     Attributes:
         parts: the parts of the prompt, the last one not shared; empty without a prompt.
-        needed_tokens: memory that the request takes at a runner, in tokens.
-        memory_tokens: memory of one runner of the service, in tokens; 0 if unknown.
-        wall: the tenant if it shares no parts with others, else empty.
-        model: the model, or None where the service serves none.
-        wanted_version: version of its weights that the operator named, or None.
-        oldest_version: oldest version of the weights that may still begin requests.
-        tried: instances that this request has been sent to.
-        zone: the asking router's zone.
-        now: steady time.
-        apart_by: the fingerprint of a request that may have ended a runner, else None.
+        needed_tokens: KV cache memory that the request needs at a runner, in tokens.
+        memory_tokens: KV cache memory of a runner of the service, in tokens; 0 if unknown.
+        wall: the tenant if it shares no cached parts with other tenants, else empty.
+        model: the model, or None if the service has none.
+        wanted_version: target version of the model's weights, or None.
+        oldest_version: oldest version of the weights that may still start requests.
+        tried: instances to which the request has been sent.
+        zone: zone of this router.
+        now: monotonic time, in seconds.
+        apart_by: fingerprint of a request suspected of crashing a runner, else None.
     """
 
     parts: tuple[PromptPart, ...]
@@ -52,7 +52,7 @@
 
 
 class Placement:
-    """Chooses runners; remembers the order of runners for the prefixes asked for last."""
+    """Chooses runners and caches their ranking by prefix."""
 
     def __init__(self, figures: PlacementFigures = DEFAULTS.placement) -> None:
         self._figures = figures
@@ -62,7 +62,7 @@
     def choose(
         self, question: PlacementQuestion, states: Sequence[RunnerState]
     ) -> RunnerState | None:
-        """Return the runner to send a request to, or None if there is none."""
+        """Return the runner to send a request to, or None if no runner is usable."""
         usable = [
             state
             for state in states
@@ -83,7 +83,7 @@
     def limited_for_s(
         self, question: PlacementQuestion, states: Sequence[RunnerState]
     ) -> float | None:
-        """Return the time until the first rate-limited runner may be sent a request, in seconds.
+        """Return the time until the first rate limit of a runner allows the request, in seconds.
 
         None if the request is not blocked by rate limits alone.
         """
@@ -94,7 +94,7 @@
         return max(0.0, min(state.limited_until for state in sound) - now)
 
     def tokens_to_read(self, question: PlacementQuestion, state: RunnerState) -> float:
-        """Return what a runner is believed to have to read for a request, in tokens."""
+        """Return the estimated prefill of a request at a runner, in tokens."""
         own_tokens = question.parts[-1].tokens if question.parts else 0
         return own_tokens + self._shared_cost(question, state)
 
@@ -133,10 +133,10 @@
     def cache_source(
         self, question: PlacementQuestion, state: RunnerState, states: Sequence[RunnerState]
     ) -> RunnerState | None:
-        """Return the runner that most likely keeps a prompt's shared parts beside the chosen one.
+        """Return another runner that most likely has a prompt's shared parts cached, or None.
 
-        It is the one that read the last shared part last, as far as this router knows, else the
-        first by hashing, which all routers send that prefix to while it has room.
+        It is the runner known to have prefilled the last shared part most recently, otherwise the
+        first by rendezvous hashing, to which all routers send that prefix while it has room.
         """
         if len(question.parts) < 2:
             return None
@@ -177,10 +177,11 @@
         return per_slot + 0.2 * failures, weight(question.zone.encode(), state.runner.instance)
 
     def needs_saving(self, question: PlacementQuestion, state: RunnerState) -> bool:
-        """Whether the kept-cache store may lack a prompt's shared parts as a runner reads them.
+        """Return whether the KV cache store may lack the shared parts of a prompt.
 
-        A runner that saves also saves what is not shared.  Saving with every prompt fills the
-        store with parts that nobody asks for again, and its link with copies.
+        A runner that saves a prompt also saves the part that is not shared.  Saving every prompt
+        would fill the store with parts that are never requested again, and its link with
+        duplicates.
         """
         if len(question.parts) < 2:
             return False
@@ -188,7 +189,7 @@
         return not self.seen.is_saved(last_shared, question.now, self._figures.save_again_s)
 
     def note_read(self, question: PlacementQuestion, state: RunnerState) -> None:
-        """Take in that a runner has read a prompt, and saved its parts if that was needed."""
+        """Record that a runner has prefilled a prompt, and saved its parts if that was needed."""
         if self.needs_saving(question, state):
             last_shared = _part_key(question, state, question.parts[-2])
             self.seen.note_saved(last_shared, question.now)
@@ -197,7 +198,7 @@
             self.seen.note(state.runner.instance, key, question.now)
 
     def _ranks(self, prefix: bytes, instances: tuple[str, ...]) -> dict[str, int]:
-        """Return each instance's place in the order that a prefix is hashed to."""
+        """Return the rank of each instance in the rendezvous order of a prefix."""
         key = (prefix, instances)
         ranks = self._known_ranks.get(key)
         if ranks is None:
@@ -215,7 +216,7 @@
 
 
 def _sound(question: PlacementQuestion, states: Sequence[RunnerState]) -> list[RunnerState]:
-    """Return the staying runners that are not to be avoided."""
+    """Return the runners that are neither draining nor to be avoided."""
     return [
         state
         for state in states
@@ -224,10 +225,11 @@
 
 
 def _apart(fingerprint: bytes, states: Sequence[RunnerState]) -> RunnerState:
-    """Return the runner that all routers give a suspected request.
+    """Return the runner to which all routers send a request suspected of causing crashes.
 
-    Each has one of its own, as far as there are runners: two suspects do not meet, so that the end
-    of a runner blames one of them, and all comings of one end one runner at a time.
+    Suspected requests are spread over the runners by fingerprint.  Two of them rarely share a
+    runner, so that a crash can be attributed to one of them, and all repeats of one request crash
+    only one runner at a time.
     """
     return max(states, key=lambda state: weight(fingerprint, state.runner.instance))
 
@@ -235,7 +237,7 @@
 def _with_allowed_weights(
     question: PlacementQuestion, states: list[RunnerState]
 ) -> list[RunnerState]:
-    """Return the runners whose weights may still begin requests."""
+    """Return the runners whose weights may still start requests."""
     if question.model is None or not question.oldest_version:
         return states
     oldest = question.oldest_version
@@ -243,14 +245,14 @@
 
 
 def _is_old(question: PlacementQuestion, state: RunnerState) -> bool:
-    """Whether a runner has older weights than the operator has named."""
+    """Return whether a runner has older weights than the target version."""
     version = _version(question, state)
     wanted = question.wanted_version
     return version is not None and wanted is not None and version < wanted
 
 
 def _part_key(question: PlacementQuestion, state: RunnerState, part: PromptPart) -> bytes:
-    """Return what a part is kept under: other weights, and tenants that share none, are apart."""
+    """Return the cache key of a part, which includes the weights version and isolated tenant."""
     return part.part_id + b"/%d/" % (_version(question, state) or 0) + question.wall
 
 
@@ -259,7 +261,7 @@
 
 
 def _least_bad(question: PlacementQuestion, states: list[RunnerState]) -> RunnerState | None:
-    """Return a runner that is neither loading nor full, the least failing one."""
+    """Return the runner with the fewest recent failures that is neither loading nor full."""
     now = question.now
     usable = [state for state in states if now >= state.loading_until and now >= state.full_until]
     if not usable:
--- a/src/martenrun/router/reading_speed.py
+++ b/src/martenrun/router/reading_speed.py
@@ -1,24 +1,24 @@
-"""How fast the runners of a service read prompts, learned from when their first tokens came."""
+"""Estimates the prefill rate of a service's runners from the times of their first tokens."""
 
 import attrs
 
 LEAST_TOKENS = 1_000
-"""Shorter readings tell of other delays than of reading."""
+"""Minimum prefill of a sample, in tokens; shorter ones are dominated by other delays."""
 
 KEPT_SHARE = 0.97
-"""What an older sample keeps of its weight with each new one."""
+"""Factor by which the weight of older samples decays with each new one."""
 
 LEAST_SAMPLES = 10
-"""Samples before which nothing is concluded."""
+"""Number of samples needed for an estimate."""
 
 
 @attrs.define
 class ReadingSpeed:
-    """A fading mean over readings.
+    """An exponentially weighted average of the prefill rate.
 
     Attributes:
-        tokens, seconds: faded sums over the samples.
-        samples: how many there were.
+        tokens, seconds: weighted sums over the samples.
+        samples: number of samples.
     """
 
     tokens: float = 0.0
@@ -26,11 +26,11 @@
     samples: int = 0
 
     def note(self, tokens: float, seconds: float) -> None:
-        """Take in how long it took from sending a request until its first token came.
+        """Add a sample.
 
         Args:
-            tokens: what the runner had to read until then, in tokens.
-            seconds: the time it took.
+            tokens: prefill of the runner before the first token, in tokens.
+            seconds: time from sending the request to its first token, in seconds.
         """
         if tokens < LEAST_TOKENS or seconds <= 0:
             return
@@ -39,7 +39,7 @@
         self.samples += 1
 
     def seconds_for(self, tokens: float) -> float | None:
-        """Return how long a runner takes to read so many tokens, or None if unknown."""
+        """Return the prefill time of that many tokens, in seconds, or None if unknown."""
         if self.samples < LEAST_SAMPLES:
             return None
         return tokens * self.seconds / self.tokens
--- a/src/martenrun/router/runner_choice.py
+++ b/src/martenrun/router/runner_choice.py
@@ -1,4 +1,4 @@
-"""Which runner one request goes to, and whether it can begin there soon enough."""
+"""Chooses the runner for a request and checks whether it can start there soon enough."""
 
 import attrs
 
@@ -11,14 +11,14 @@
 from martenrun.router.world import World
 
 MINIMUM_YIELD_S = 1.0
-"""Minimum retry delay of a request that yields to more urgent ones, in seconds."""
+"""Minimum retry delay of a request refused in favour of more urgent ones, in seconds."""
 
 
 class RunnerChoice:
     """Chooses runners for one request.
 
     Attributes:
-        tried: instances that are not chosen again.
+        tried: instances to which the request was sent, which are not chosen again.
     """
 
     def __init__(self, world: World, request: HttpRequest, admitted: Admitted) -> None:
@@ -31,7 +31,7 @@
         self.tried: list[str] = []
 
     def choose(self) -> RunnerState | None:
-        """Return the best runner that was not tried, or None."""
+        """Return the best runner that has not been tried, or None."""
         states = self._world.runner_states(self._admitted.service)
         question = self.question()
         if self._yields_to_urgent():
@@ -40,20 +40,20 @@
         return self._world.placement.choose(question, states)
 
     def question(self) -> PlacementQuestion:
-        """Return what the placement is asked."""
+        """Return the query for the placement."""
         run = self.known_fingerprint()
         apart_by = run if self._world.suspects.is_suspect(run) else None
         return placement_question(self._world, self._admitted, self.tried, apart_by)
 
     def known_fingerprint(self) -> bytes | None:
-        """Return this request's fingerprint if something is known of requests like it."""
+        """Return the request's fingerprint if there are crash records to compare it with."""
         if self._fingerprint is None:
             suspects = self._world.suspects
             self._fingerprint = suspects.fingerprint(self._request, self._admitted)
         return self._fingerprint
 
     def held_back_s(self) -> float:
-        """Return for how long requests like this one are held back, in seconds; 0 if not."""
+        """Return for how long requests like this one are blocked, in seconds; 0 if they are not."""
         return self._world.suspects.held_for_s(self.known_fingerprint())
 
     # Rate limits of runners
@@ -84,7 +84,10 @@
         return [(state, limit) for state, limit in found if limit is not None]
 
     def _yields_to_urgent(self) -> bool:
-        """Whether to leave rate-limited runners to urgent requests, one of which was refused."""
+        """Return whether rate-limited runners are reserved for more urgent requests.
+
+        They are for some time after an urgent request was refused.
+        """
         now = self._world.loop.now()
         if not self._guard.has_refused_urgent(now) or self._is_urgent():
             return False
@@ -98,20 +101,20 @@
     # Overload
 
     def note_asked(self) -> None:
-        """The request takes part in the demand from now on."""
+        """Count the request as demand."""
         self._guard.note_asked(self._groups, self._world.loop.now())
 
     def note_taken(self) -> None:
-        """The request goes to its first runner."""
+        """Count the request as admitted when it is sent to its first runner."""
         self._guard.note_taken(self._groups, self._world.loop.now())
 
     def may_wait_at(self, state: RunnerState) -> bool:
-        """Whether a runner can begin with this request soon enough."""
+        """Return whether a runner can start on the request soon enough."""
         if not self._admitted.call.parts:
             return True
         prompt = waiting_prompt(self._world, self._admitted, state)
         return self._guard.takes(prompt, self._world.loop.now())
 
     def wait_s(self, state: RunnerState) -> float:
-        """Return after how long the request may be taken at a runner, in seconds."""
+        """Return the expected wait of the request at a runner, in seconds."""
         return self._guard.wait_s(state.backlog_tokens)
--- a/src/martenrun/router/seen_parts.py
+++ b/src/martenrun/router/seen_parts.py
@@ -1,4 +1,4 @@
-"""Which parts of prompts this router has seen read, where and when; bounded in number and age."""
+"""Records which prompt parts runners have prefilled recently, bounded in number and age."""
 
 import math
 from typing import TypeVar
@@ -7,14 +7,14 @@
 _Value = TypeVar("_Value")
 
 KEPT_S = 20.0
-"""How long a part is believed to be kept after it was last used, in seconds."""
+"""Time for which a part is assumed to stay cached after its last use, in seconds."""
 
 MAXIMUM_PARTS = 4096
-"""Most (runner, part) pairs and most parts remembered."""
+"""Maximum number of entries of each table: pairs of runner and part, parts, and saved parts."""
 
 
 class SeenParts:
-    """Parts read lately, by runner and at all."""
+    """Recently prefilled prompt parts, by runner and over all runners."""
 
     def __init__(self) -> None:
         self._at: dict[tuple[str, bytes], float] = {}
@@ -22,34 +22,37 @@
         self._saved_at: dict[bytes, float] = {}
 
     def note(self, instance: str, key: bytes, now: float) -> None:
-        """Take in that a runner has read a part."""
+        """Record that a runner has prefilled a part."""
         _put(self._at, (instance, key), now)
         _put(self._anywhere, key, (now, instance))
 
     def note_saved(self, key: bytes, now: float) -> None:
-        """Take in that a part goes to the kept-cache store."""
+        """Record that a part is saved to the KV cache store."""
         _put(self._saved_at, key, now)
 
     def is_saved(self, key: bytes, now: float, memory_s: float) -> bool:
-        """Whether a part went to the kept-cache store within the last ``memory_s`` seconds."""
+        """Return whether a part was saved to the KV cache store within ``memory_s`` seconds."""
         return now - self._saved_at.get(key, -math.inf) < memory_s
 
     def is_at(self, instance: str, key: bytes, now: float) -> bool:
-        """Whether a runner is believed to keep a part."""
+        """Return whether a runner is assumed to have a part cached."""
         return now - self._at.get((instance, key), -KEPT_S) < KEPT_S
 
     def is_anywhere(self, key: bytes, now: float) -> bool:
-        """Whether any runner has read a part, so that the kept-cache store should have it."""
+        """Return whether any runner has prefilled a part recently.
+
+        The KV cache store is then assumed to hold it.
+        """
         return self.last_reader(key, now) is not None
 
     def last_reader(self, key: bytes, now: float) -> str | None:
-        """Return the instance of the runner that read a part last."""
+        """Return the instance of the runner that prefilled a part last, or None."""
         at, instance = self._anywhere.get(key, (-KEPT_S, ""))
         return instance if now - at < KEPT_S else None
 
 
 def _put(entries: dict[_Key, _Value], key: _Key, value: _Value) -> None:
-    """Note an entry; those noted longest ago give way."""
+    """Put an entry at the end, and evict the oldest entries above the maximum."""
     entries.pop(key, None)
     entries[key] = value
     while len(entries) > MAXIMUM_PARTS:
--- a/src/martenrun/router/zone_loads.py
+++ b/src/martenrun/router/zone_loads.py
@@ -1,10 +1,11 @@
-"""Loads of runners between the zones of a large deployment: sums, told by one router of each zone.
-
-Among very many routers those of one zone tell each other of every long prompt at once, and one
-of them, the zone's teller, tells the tellers of the other zones the sums over its zone; these pass
-them on to their own zones.  A router then hears some datagrams a second instead of one for each
-prompt that any router sends or sees read, and little crosses zones.  Two routers that both take
-themselves for the teller tell the same sums; where there is none, what was told ends by itself.
+"""Loads of runners between the zones of a large deployment, as sums sent by one router per zone.
+
+In a large deployment routers broadcast long prompts within their own zone only.  One router of each
+zone, the zone reporter, sends the sums over its zone to the reporters of the other zones, which
+forward them within their zones.  A router then receives a few datagrams per second instead of one
+for each start and end of a prefill anywhere, and there is little traffic between zones.  If two
+routers consider themselves the reporter, they send the same sums.  Without a reporter, the sums
+that it sent expire.
 """
 
 from collections.abc import Iterable, Mapping
@@ -13,29 +14,33 @@
 from martenrun.router.readers import strong_first
 
 TELL_S = 0.05
-"""How often a zone's teller tells what has changed, in seconds.
+"""Interval at which a zone reporter sends changed sums, in seconds.
 
-A long prompt is read in 0.2 s.  With 195 routers (virtual time) the mean error of the backlogs that
-are known is 0.36 of the mean backlog, with 0.1 s 0.48, by records alone 0.64.
+The prefill of a long prompt takes 0.2 s.  With 195 routers in virtual time the mean error of the
+known backlogs is 0.36 of the mean backlog; with an interval of 0.1 s it is 0.48, and with gossiped
+records alone 0.64.
 """
 
 TOLD_AGAIN_S = 1.0
-"""After so many seconds a sum that has not changed is told again, for datagrams that were lost."""
+"""Interval at which an unchanged sum is sent again in case a datagram was lost, in seconds."""
 
 BELIEVED_S = 2.5
-"""For how long a sum is believed that is not told again, in seconds."""
+"""Time after which a received sum expires unless it is received again, in seconds."""
 
 LEAST_CHANGE_TOKENS = 1_000
-"""Change of the tokens to be read at a runner that is told, in tokens."""
+"""Change of a runner's pending prefill that is sent to other zones, in tokens."""
 
 NOTHING = RunnerLoad(0, 0, 0)
 
 ZoneSums = dict[str, dict[str, RunnerLoad]]
-"""Sums of loads by zone and runner's instance."""
+"""Sums of loads by zone and runner instance."""
 
 
 def zone_tellers(records: Iterable[RouterRecord]) -> dict[str, str]:
-    """Return the address of each zone's teller: of its strong routers the first by hashing."""
+    """Return the address of the reporter of each zone.
+
+    It is the first by rendezvous hashing of the zone's routers with high capacity.
+    """
     by_zone: dict[str, list[RouterRecord]] = {}
     for record in records:
         if not record.is_leaving:
@@ -47,7 +52,7 @@
 
 
 def added_up(loads: Iterable[Mapping[str, RunnerLoad]]) -> dict[str, RunnerLoad]:
-    """Return the sums of what several routers, or zones, have given each runner to do."""
+    """Return the sum over several routers or zones of the load on each runner."""
     sums: dict[str, RunnerLoad] = {}
     for table in loads:
         for instance, load in table.items():
@@ -56,7 +61,7 @@
 
 
 def plus(one: RunnerLoad, other: RunnerLoad) -> RunnerLoad:
-    """Return two loads together."""
+    """Return the sum of two loads."""
     return RunnerLoad(
         one.requests + other.requests,
         one.tokens_to_read + other.tokens_to_read,
@@ -65,13 +70,13 @@
 
 
 class ToldSums:
-    """What a teller told of its own zone last; says what is to be told now."""
+    """The sums that a zone reporter sent last; selects those to send next."""
 
     def __init__(self) -> None:
         self._told: dict[str, tuple[RunnerLoad, float]] = {}
 
     def due(self, sums: Mapping[str, RunnerLoad], now: float) -> dict[str, RunnerLoad]:
-        """Return the sums that have changed, or were told long ago, and take them for told."""
+        """Return the sums to send, changed or due for repetition, and record them as sent."""
         news = {}
         for instance in sums.keys() | self._told.keys():
             load = sums.get(instance, NOTHING)
@@ -83,7 +88,7 @@
         return news
 
     def _note(self, instance: str, load: RunnerLoad, told: RunnerLoad, now: float) -> None:
-        """Remember what is told; that there is nothing any more is told twice."""
+        """Record a sum as sent; a runner whose load has dropped to zero is reported twice."""
         if load == told == NOTHING:
             self._told.pop(instance, None)
         else:
@@ -91,19 +96,19 @@
 
 
 class HeardSums:
-    """The sums of other zones, as last heard."""
+    """The sums last received from other zones."""
 
     def __init__(self) -> None:
         self._heard: dict[str, dict[str, tuple[RunnerLoad, float]]] = {}
 
     def take(self, zone: str, sums: Mapping[str, RunnerLoad], now: float) -> None:
-        """Take in sums over a zone."""
+        """Merge the sums of a zone."""
         heard = self._heard.setdefault(zone, {})
         for instance, load in sums.items():
             heard[instance] = (load, now)
 
     def at(self, instance: str, now: float) -> RunnerLoad:
-        """Return what the other zones have given a runner to do, as far as it is known."""
+        """Return the sum of the valid loads that other zones put on a runner."""
         total = NOTHING
         for heard in self._heard.values():
             load, heard_at = heard.get(instance, (NOTHING, now))
@@ -112,7 +117,7 @@
         return total
 
     def forget_old(self, now: float) -> None:
-        """Drop what is believed no longer."""
+        """Remove expired sums."""
         for heard in self._heard.values():
             for instance in [key for key, (_, at) in heard.items() if now - at > BELIEVED_S]:
                 del heard[instance]
