--- a/src/martenrun/router/lease.py
+++ b/src/martenrun/router/lease.py
@@ -1,8 +1,9 @@
-"""A lease in the platform's store, taken and renewed under its revision.
+"""A lease in the platform's store, acquired and renewed by conditional writes.
 
-The holder counts from the sending of its last successful write; others wait for the whole lease
-from when they first saw the revision that they replace, unless its holder gave it up or was an
-earlier life of the same router.  Each take-over raises the fencing token.
+For its holder the lease runs from the time at which it sent its last successful write.  Other
+routers wait for the full length of the lease from when they first saw the revision that they
+replace, unless its holder released it or was an earlier incarnation of the same router.  Each
+takeover raises the fencing token.
 """
 
 import math
@@ -26,28 +27,28 @@
 from martenrun.router.store_client import HttpCaller
 
 CALL_TIMEOUT_S = 0.7
-"""How long a call about the lease waits for its answer, in seconds."""
+"""Timeout of a call to the store, in seconds."""
 
 HOLDER_MARGIN_S = 0.4
-"""How long before its end the holder no longer acts on the lease, in seconds."""
+"""Margin before the end of the lease at which its holder stops acting on it, in seconds."""
 
 TAKER_MARGIN_S = 0.15
-"""How long after its end another takes it over, in seconds."""
+"""Margin after the end of the lease before another router takes it over, in seconds."""
 
 RANK_DELAY_S = 0.25
-"""How much later each next router takes over a free lease, in seconds."""
+"""Additional delay per rank before a router takes over a free lease, in seconds."""
 
 PAUSE_S = 0.15
-"""Pause after a call that failed or found the lease held, in seconds."""
+"""Pause before the next call after a failed one, in seconds."""
 
 
 @attrs.frozen
 class SeenLease:
-    """A lease object as last seen.
+    """A lease object as last observed.
 
     Attributes:
-        seen_at: when its revision was first seen.
-        is_read: whether the record was read from the store; what other routers tell of it is less.
+        seen_at: monotonic time at which its revision was first seen, in seconds.
+        is_read: whether the record is from the store; a record from another router is incomplete.
     """
 
     stored: StoredObject
@@ -57,9 +58,9 @@
 
 
 def free_at(seen: SeenLease, router: str, rank: int, lease_s: float) -> float:
-    """Return when a router may take the lease over; the higher its rank, the later."""
+    """Return when a router may take the lease over; a higher rank means later."""
     if seen.record.router == router:
-        # An earlier life of this router, which has ended.
+        # Held by an earlier incarnation of this router, which has exited.
         return seen.seen_at
     delay_s = rank * RANK_DELAY_S
     if seen.record.released_idle_s is not None:
@@ -68,16 +69,16 @@
 
 
 def last_order_at(seen: SeenLease, lease_s: float) -> float:
-    """Return until when the holder of a lease may have given orders under it."""
+    """Return the latest time at which the holder of a lease may have given an order."""
     if seen.record.released_idle_s is not None:
         return seen.seen_at - seen.record.released_idle_s + TAKER_MARGIN_S
     return seen.seen_at + lease_s - HOLDER_MARGIN_S
 
 
 def note_earlier_orders(turns: OrderTurns, seen: SeenLease, router: str, lease_s: float) -> None:
-    """Take in which runners may not be ordered yet by a router that takes a lease over.
+    """Block orders to runners that the previous holder of a lease may have ordered.
 
-    All lives of one router count as one.
+    All incarnations of one router count as the same holder.
     """
     record = seen.record
     ordered_until = last_order_at(seen, lease_s)
@@ -90,18 +91,18 @@
 
 
 class Lease:
-    """One lease, as one router sees it.
+    """A lease from the view of one router.
 
     Args:
         name: name of the lease object.
-        holder: what this life of this router calls itself: its address, ``#``, its incarnation.
+        holder: identity of this incarnation of the router: its address, ``#`` and its incarnation.
         lease_s: length of the lease, in seconds.
-        ages_ms: returns how long versions of weights have been known, to be written with the lease.
-        on_ages: called with what the lease object tells of that.
+        ages_ms: returns how long versions of weights have been known, to be stored in the lease.
+        on_ages: called with the version ages that the lease object contains.
 
     Attributes:
-        fencing_token: token to be used while it is held.
-        turns: which runners may be ordered from when, once they are reserved.
+        fencing_token: token of orders while the lease is held.
+        turns: schedule of orders, with the time from which each reserved runner may be ordered.
     """
 
     def __init__(
@@ -144,20 +145,20 @@
         return self._loop.now() < self._held_until - HOLDER_MARGIN_S
 
     def last_router(self) -> str | None:
-        """Return the address of the router that was last seen to hold it."""
+        """Return the address of the last known holder, or None if there is none."""
         return None if self._seen is None else self._seen.record.router
 
     def may_order(self, instance: str) -> bool:
-        """Return whether an order may be given to a runner now."""
+        """Return whether a runner may be ordered now."""
         now = self._loop.now()
         is_turn = now >= self.turns.orders_from(instance)
         return self.is_held() and is_turn and self.turns.is_confirmed(instance)
 
     def reserve(self, instances: Collection[str], on_done: Callable[[bool], None]) -> None:
-        """Write into the lease object that runners are to be ordered.
+        """Store in the lease object that this router is going to order runners.
 
         Args:
-            on_done: called with whether that is stored.
+            on_done: called with whether the reservation has been stored.
         """
         self.turns.reserve(instances)
         self._on_reserved.append((instances, on_done))
@@ -165,21 +166,21 @@
             self._write(self.fencing_token)
 
     def note_order(self, instance: str) -> None:
-        """Take in that an order to a runner is given under it, or may arrive as late as now."""
+        """Record that an order to a runner is sent, or may have arrived as late as now."""
         self._last_order_at = self._loop.now()
         self.turns.note_order(instance, self._last_order_at)
 
     def note_revision(self, record: LeaseRecord, revision: int) -> None:
-        """Take in that another router tells of a revision that it has written."""
+        """Record a revision of the lease object that another router reports to have written."""
         if self.is_held() or (self._seen is not None and revision <= self._seen.stored.revision):
             return
         stored = StoredObject(self._name, revision, None)
         self._seen = SeenLease(stored, record, self._loop.now(), is_read=False)
 
     def pursue(self, rank: int) -> None:
-        """Take the lease or renew it, as far as it is time for that.
+        """Acquire the lease or renew it if that is due.
 
-        A router takes a free lease the later, the higher its ``rank``.
+        A router with a higher ``rank`` acquires a free lease later.
         """
         now = self._loop.now()
         seen = self._seen
@@ -191,27 +192,29 @@
         elif seen is None:
             self._read()
         elif seen.record.holder == self._holder:
-            # Nobody has taken it since: it is still this router's under its own token.
+            # No other router has acquired it since, so the token of this router is still valid.
             self._write(seen.record.fencing_token)
         elif now >= free_at(seen, self._router, rank, self._lease_s):
             if not seen.is_read:
                 self._read()
                 return
-            # It holds whether or not the write is answered.
+            # Block earlier orders now: the write may succeed even if its response is lost.
             note_earlier_orders(self.turns, seen, self._router, self._lease_s)
             self.turns.finish_all()
             self._end_reservations(False)
             self._write(max(seen.record.fencing_token, self.fencing_token) + 1)
 
     def release(self, on_released: Callable[[LeaseRecord, int], None]) -> None:
-        """Give the lease up if it is held; ``on_released`` gets what others need to take it.
+        """Release the lease if it is held.
 
-        No order may be given after this.  A write that fails is not repeated: the lease then ends
-        by itself.
+        No orders may be given afterwards.  A failed write is not repeated; the lease then expires.
+
+        Args:
+            on_released: called with the record and revision that other routers need to acquire it.
         """
         if not self.is_held() or self._is_calling:
             return
-        # Before its own first order, the last one was that of a holder before.
+        # Without an order of its own, the last order was that of a previous holder.
         ordered_at = max(self._last_order_at, self.turns.latest_block() - self._lease_s)
         idle_s = min(self._lease_s, self._loop.now() - ordered_at)
         self.turns.finish_all()
@@ -288,7 +291,7 @@
         log_trouble("lease_write_failed", status=status, token=record.fencing_token)
         self._not_before = self._loop.now() + PAUSE_S
         self._end_reservations(False)
-        # What the object holds now is not known: read it again, and never use that token again.
+        # The content of the object is unknown now: read it again, and never reuse that token.
         self.fencing_token = max(self.fencing_token, record.fencing_token)
         if status not in (429, 503):
             self._seen = None
@@ -298,7 +301,7 @@
                     self._held_until = 0.0
 
     def _end_reservations(self, is_stored: bool) -> None:
-        """Tell those that wait for reservations what has become of them."""
+        """Report the outcome of pending reservations to their callers."""
         waiting, self._on_reserved = self._on_reserved, []
         for instances, on_done in waiting:
             if is_stored and any(self.turns.is_unconfirmed(instance) for instance in instances):
--- a/src/martenrun/router/order_turns.py
+++ b/src/martenrun/router/order_turns.py
@@ -1,23 +1,23 @@
-"""When each runner was last ordered under a lease, by whichever holder.  Pure.
+"""Tracks when each runner was last ordered under a lease, by any holder.  No I/O or clock.
 
-Orders of two routers to one runner must lie the length of the lease apart.  A holder reserves a
-runner in the lease object before it orders it, so that its successor knows which runners it may
-order at once and which may still have been ordered shortly before the lease ended.
+Orders of two routers to one runner must be at least the length of the lease apart.  A holder
+reserves a runner in the lease object before it orders it.  Its successor then knows which runners
+it may order at once, and which ones may have been ordered shortly before the lease ended.
 """
 
 from collections.abc import Collection, Iterator, Mapping
 
 RESERVED_MS = 0
-"""Age told of a runner that the holder may order at any time while it holds the lease."""
+"""Age stored for a reserved runner, which the holder may order at any time during the lease."""
 
 MS_PER_S = 1000.0
 
 
 class OrderTurns:
-    """What one router knows of orders to runners; times are steady seconds.
+    """The orders to runners that one router knows of; all times are monotonic, in seconds.
 
     Args:
-        lease_s: length of the lease, and shortest time between orders of two routers to a runner.
+        lease_s: length of the lease and minimum time between orders of two routers to a runner.
     """
 
     def __init__(self, lease_s: float) -> None:
@@ -33,7 +33,11 @@
     # Earlier holders
 
     def block_all(self, last_order_at: float) -> None:
-        """Take in that an earlier holder may have ordered any runner until a time."""
+        """Block all runners because an earlier holder may have ordered any of them.
+
+        Args:
+            last_order_at: latest time at which that holder may have ordered a runner.
+        """
         until = last_order_at + self._lease_s
         self._all_blocked_until = max(self._all_blocked_until, until)
         self._unknown_until = max(self._unknown_until, until)
@@ -45,11 +49,11 @@
         last_order_at: float,
         pause_s: float,
     ) -> None:
-        """Go on for an earlier life of this router, whose orders are its own.
+        """Continue after an earlier incarnation of this router, whose orders block no runner.
 
         Args:
-            ages_ms, told_at, last_order_at: as for :meth:`block`; None where nobody tells.
-            pause_s: for how long that life had orders of others to wait for, in seconds.
+            ages_ms, told_at, last_order_at: as for :meth:`block`; no ages if they are unknown.
+            pause_s: time for which orders of others blocked that incarnation, in seconds.
         """
         self._paused_until = max(self._paused_until, told_at + pause_s)
         if ages_ms is None:
@@ -59,70 +63,70 @@
             self._ordered_at[instance] = max(ordered_at, self._ordered_at.get(instance, 0.0))
 
     def block(self, ages_ms: Mapping[str, int], told_at: float, last_order_at: float) -> None:
-        """Take in what an earlier holder's record tells of orders.
+        """Block the runners that an earlier holder has ordered or reserved.
 
         Args:
-            ages_ms: for each runner how long ago the last order may have been given.
-            told_at: when the record was first seen.
-            last_order_at: until when that holder may have ordered the runners it had reserved.
+            ages_ms: for each runner the time since its last possible order, in milliseconds.
+            told_at: time at which the record was first seen.
+            last_order_at: latest time at which that holder may have ordered a reserved runner.
         """
         for instance, ordered_at in _order_times(ages_ms, told_at, last_order_at):
             until = ordered_at + self._lease_s
             self._blocked_until[instance] = max(until, self._blocked_until.get(instance, 0.0))
 
     def orders_from(self, instance: str) -> float:
-        """Return the time from which this router may order a runner while it holds the lease."""
+        """Return the time from which a holder of the lease may order a runner."""
         blocked_until = self._blocked_until.get(instance, 0.0)
         return max(self._all_blocked_until, self._paused_until, blocked_until)
 
     def latest_block(self) -> float:
-        """Return the time from which any runner may be ordered."""
+        """Return the time from which no runner is blocked."""
         blocked_until = self._blocked_until.values()
         return max([self._all_blocked_until, self._paused_until, *blocked_until])
 
     # Own orders
 
     def reserve(self, instances: Collection[str]) -> None:
-        """Name runners in the next write of the lease object."""
+        """Reserve runners with the next write of the lease object."""
         self._reserved.update(instances)
 
     def is_reserved(self, instance: str) -> bool:
-        """Whether a runner is named in this router's writes of the lease object."""
+        """Return whether this router reserves a runner in its writes of the lease object."""
         return instance in self._reserved
 
     def is_unconfirmed(self, instance: str) -> bool:
-        """Whether a runner is reserved, but not yet in the lease object."""
+        """Return whether a reservation has not been stored in the lease object yet."""
         return instance in self._reserved and instance not in self._confirmed
 
     def is_confirmed(self, instance: str) -> bool:
-        """Whether the lease object names a runner as reserved by this router."""
+        """Return whether this router's reservation of a runner is in the lease object."""
         return instance in self._confirmed
 
     def confirm(self, ages_ms: Mapping[str, int] | None) -> None:
-        """Take in that a record of this router with these ages is stored."""
+        """Record that a record of this router with these ages has been stored."""
         ages_ms = ages_ms or {}
         stored = {instance for instance, age_ms in ages_ms.items() if age_ms <= RESERVED_MS}
         self._confirmed = stored & self._reserved
 
     def note_order(self, instance: str, now: float) -> None:
-        """Take in that an order is given, or may arrive as late as now."""
+        """Record that an order to a runner is sent, or may have arrived as late as now."""
         self._ordered_at[instance] = now
 
     def finish(self, instance: str) -> None:
-        """Give no more orders to a runner unless it is reserved anew; none is on its way."""
+        """Cancel the reservation of a runner to which no order is in transit."""
         self._reserved.discard(instance)
         self._confirmed.discard(instance)
 
     def finish_all(self) -> None:
-        """Give no more orders."""
+        """Cancel all reservations."""
         self._reserved.clear()
         self._confirmed.clear()
 
     def ages_ms(self, now: float) -> dict[str, int] | None:
-        """Return for each runner how long ago it may have been ordered, by anybody.
+        """Return for each runner the time since its last possible order, by any holder.
 
-        Runners whose last order lies longer back than the length of the lease are left out.  None
-        while any may have been ordered within that time.
+        In milliseconds.  Runners last ordered longer ago than the length of the lease are left out.
+        None while any runner may have been ordered within that time.
         """
         if now < self._unknown_until:
             return None
@@ -140,7 +144,7 @@
         return ages | dict.fromkeys(self._reserved, RESERVED_MS)
 
     def _forget_before(self, at: float) -> None:
-        """Drop orders of before a time."""
+        """Remove orders given before a time."""
         self._ordered_at = {name: was for name, was in self._ordered_at.items() if was >= at}
         self._blocked_until = {
             name: until
@@ -152,7 +156,7 @@
 def _order_times(
     ages_ms: Mapping[str, int], told_at: float, last_order_at: float
 ) -> Iterator[tuple[str, float]]:
-    """Yield for each runner until when the holder that tells of it may have ordered it."""
+    """Yield for each runner the latest time at which the holder may have ordered it."""
     for instance, age_ms in ages_ms.items():
         is_reserved = age_ms <= RESERVED_MS
         yield instance, last_order_at if is_reserved else told_at - age_ms / MS_PER_S
--- a/src/martenrun/router/retry.py
+++ b/src/martenrun/router/retry.py
@@ -1,7 +1,7 @@
-"""What follows when a try of a request at a runner fails: pure decisions.
+"""Decides what to do after a failed attempt of a request at a runner.  No I/O or clock.
 
-A request that must not run twice goes to another runner only if no byte of it can have left or
-the runner said that it did not run it.
+A request that must not run twice is sent to another runner only if none of its bytes can have been
+sent, or if the runner has stated that it did not execute it.
 """
 
 import enum
@@ -9,14 +9,14 @@
 import attrs
 
 MAXIMUM_SENDS = 4
-"""Most runners that one request is sent to, those that did not run it included."""
+"""Maximum number of sends of a request, including those that were not executed."""
 
 LEAST_LEFT_S = 0.05
-"""Time left to the deadline below which nothing is sent again, in seconds."""
+"""Minimum time left before the deadline for another send, in seconds."""
 
 
 class Failure(enum.Enum):
-    """How a try ended without an answer that can be passed on."""
+    """The way in which an attempt failed to give a usable response."""
 
     NOT_SENT = "not sent"
     NOT_EXECUTED = "not executed"
@@ -25,7 +25,7 @@
 
 
 class NextStep(enum.Enum):
-    """What is done after a failed try."""
+    """The action taken after a failed attempt."""
 
     SEND_AGAIN = "send again"
     REFUSE = "refuse"
@@ -36,18 +36,18 @@
 
 @attrs.frozen
 class TryState:
-    """Where a request stands when a try fails.
+    """The state of a request when an attempt has failed.
 
     Attributes:
-        may_repeat: whether it can run more than once.
-        maximum_attempts: most runners that may have run it.
-        runs: runners that may have run it, this one included.
-        sends: runners that it has been sent to, this one included.
-        has_answer_begun: whether the caller has got a part of the answer.
-        left_s: time to the end of the deadline or the route's time-out, in seconds.
-        is_within_budget: whether the retry budget allows another arrival at the service.
+        may_repeat: whether the request may run more than once.
+        maximum_attempts: maximum number of runners that may execute it.
+        runs: number of runners that may have executed it, including this attempt.
+        sends: number of times it was sent, including this attempt.
+        has_answer_begun: whether the caller has received a part of the response.
+        left_s: time left before the deadline or the timeout of the route, in seconds.
+        is_within_budget: whether the retry budget allows another send to the service.
         has_other_runner: whether there is another runner to send it to.
-        is_held_back: whether it has ended too many runners to be sent to another.
+        is_held_back: whether it is blocked because it crashed too many runners.
     """
 
     may_repeat: bool
@@ -62,7 +62,7 @@
 
 
 def next_step(failure: Failure, state: TryState) -> NextStep:
-    """Return what is done after a failed try."""
+    """Return the action to take after a failed attempt."""
     if _may_send_again(failure, state):
         return NextStep.SEND_AGAIN
     if state.has_answer_begun:
--- a/src/martenrun/router/retry_budget.py
+++ b/src/martenrun/router/retry_budget.py
@@ -1,8 +1,9 @@
-"""A node's share of the retries that all nodes together may send to a service.
+"""A router's share of the retries that all routers together may send to a service.
 
-What a process has spent of its share is lost with it.  So a process that has just started uses the
-part that comes with its own requests only.  Where all nodes restart each 4 s and repeat as often as
-they may, the repeats of all lives together are 0.26 of what is allowed, and would else be 1.45.
+The count of spent retries is lost when a process exits.  Therefore a new process only uses the part
+of the budget that its own requests earn.  If all routers restart every 4 s and retry as often as
+they may, the retries of all incarnations add up to 0.26 of the allowance; without this rule it
+would be 1.45.
 """
 
 import collections
@@ -10,18 +11,18 @@
 from martenrun.router.settings import Bounds
 
 STEP_S = 0.25
-"""Length of the steps in which arrivals are counted, in seconds."""
+"""Length of the intervals in which requests and retries are counted, in seconds."""
 
 SAFETY = 0.7
-"""Part of the allowance that is used; others may know of fewer nodes than there are."""
+"""Share of the allowance that is used, as other routers may know of too few routers."""
 
 
 class RetryBudget:
-    """Counts requests and repeats for one service over a sliding window.
+    """Counts the requests and retries of one service over a sliding window.
 
     Args:
-        spends_from: from when on this node's part of the slack may be used: one window after a
-            restart, by when nothing that the process before it spent counts any more.
+        spends_from: monotonic time from which the slack may be used.  It is one window after a
+            restart, when the retries of the previous process have left the window.
     """
 
     def __init__(self, bounds: Bounds, spends_from: float) -> None:
@@ -30,11 +31,11 @@
         self._steps: collections.deque[list[float]] = collections.deque()
 
     def note_request(self, now: float) -> None:
-        """Count a request that callers sent."""
+        """Count a request from a caller."""
         self._step(now)[1] += 1
 
     def may_repeat(self, now: float, nodes: int) -> bool:
-        """Return whether one more repeat stays within this node's share."""
+        """Return whether another retry is within this router's share."""
         self._step(now)
         requests = sum(step[1] for step in self._steps)
         repeats = sum(step[2] for step in self._steps)
@@ -43,7 +44,7 @@
         return repeats + 1 <= SAFETY * (self.bounds.budget_ratio * requests + slack)
 
     def note_repeat(self, now: float) -> None:
-        """Count a repeat that is sent."""
+        """Count a retry."""
         self._step(now)[2] += 1
 
     def _step(self, now: float) -> list[float]:
--- a/src/martenrun/router/roll_plan.py
+++ b/src/martenrun/router/roll_plan.py
@@ -1,8 +1,9 @@
-"""Which runners are to load new weights now: pure, from what is known of versions and runners.
+"""Selects the runners that load new weights next.  No I/O or clock.
 
-A load takes a runner out of service for a moment and empties its cache.  So few load at a time: the
-others serve meanwhile, on older weights.  What must not wait are runners whose weights soon may not
-begin requests any more; as many load at a time as it takes for each to begin before that.
+A load takes a runner out of service for some seconds and empties its cache.  Therefore only a few
+runners load at a time, while the others serve on older weights.  Weights may only start requests
+for a limited time after a newer version was set, so the number of parallel loads is raised as far
+as needed for every runner to start loading before that time.
 """
 
 import math
@@ -16,19 +17,19 @@
 
 @attrs.frozen
 class RollQuestion:
-    """What a plan is made from.
+    """The state of a rollout from which runners are selected.
 
     Attributes:
         model: the model.
-        version: the version named.
-        loading: instances whose load is under way.
-        not_before: times before which failed runners are not tried again.
-        now: steady time.
-        figures: how runners are brought to new weights.
-        turn_s: how long a load takes a runner out of service, as seen lately, in seconds.
-        namings: since when each version of the model is known, the latest last.
-        bound_s: for how long after a naming older weights may begin requests, in seconds.
-        ends_at: when this router gives no more orders: runs must end before.
+        version: the target version.
+        loading: instances with a load in progress.
+        not_before: for each instance the time before which no load is started.
+        now: monotonic time, in seconds.
+        figures: tuning parameters of rollouts.
+        turn_s: recent average time for which a load takes a runner out of service, in seconds.
+        namings: time since which each target version of the model is known, latest last.
+        bound_s: time for which older weights may start requests after a new target, in seconds.
+        ends_at: time from which this router gives no orders; requests must finish before it.
     """
 
     model: str
@@ -44,7 +45,7 @@
 
 
 def lacking(states: Sequence[RunnerState], model: str, version: int) -> list[RunnerState]:
-    """Return the staying runners of a model that have older weights than named."""
+    """Return the runners of a model that have older weights than the target and do not drain."""
     found = []
     for state in states:
         has = state.weights_version(model)
@@ -54,7 +55,7 @@
 
 
 def runners_to_order(question: RollQuestion, states: Sequence[RunnerState]) -> list[RunnerState]:
-    """Return the runners that are to load now: the oldest weights first, then the least busy."""
+    """Return the runners to load now: those with the oldest weights first, then the least busy."""
     if question.now + question.figures.runs_end_s > question.ends_at:
         return []
     candidates = [
@@ -65,20 +66,23 @@
     ]
     candidates.sort(key=lambda state: (state.weights_version(question.model) or 0, state.load))
     places = max(_usual_places(question, states), _needed_places(question, candidates))
-    # Those too old to serve lose nothing by loading at once; others stay in service meanwhile.
+    # Runners whose weights are too old to serve load at once, as they get no requests anyway.
     idle = sum(_serves_until(question, state) <= question.now for state in candidates)
     return candidates[: max(0, idle, places - _loading(question, states))]
 
 
 def _serves_until(question: RollQuestion, state: RunnerState) -> float:
-    """Return the time from which a runner's weights are too old to begin requests."""
+    """Return the time from which a runner's weights are too old to start requests."""
     has = state.weights_version(question.model) or 0
     newer = [since for since, version in question.namings if version > has]
     return min(newer, default=math.inf) + question.bound_s
 
 
 def _needed_places(question: RollQuestion, candidates: Sequence[RunnerState]) -> int:
-    """Return how many must load at a time so that each begins while its weights still serve."""
+    """Return the number of parallel loads with which every load starts before its deadline.
+
+    The deadline of a runner is the time from which its weights are too old to start requests.
+    """
     needed = 0
     for before, state in enumerate(candidates):
         left_s = _serves_until(question, state) - question.now
@@ -91,7 +95,7 @@
 
 
 def _usual_places(question: RollQuestion, states: Sequence[RunnerState]) -> int:
-    """Return how many runners load at a time where nothing hurries."""
+    """Return the number of parallel loads in a rollout without time pressure."""
     staying = len(_staying(question, states))
     return max(1, math.floor(staying * question.figures.parallel_share))
 
--- a/src/martenrun/router/weights_news.py
+++ b/src/martenrun/router/weights_news.py
@@ -1,4 +1,4 @@
-"""News of the weights that runners load or have, told to all routers at once."""
+"""Broadcasts which weights runners are loading or have loaded."""
 
 from martenrun.net.loop import Loop
 from martenrun.router.peer_messages import WeightsNews
@@ -7,15 +7,16 @@
 from martenrun.router.world import World
 
 TOLD_TOGETHER_S = 0.02
-"""For how long news of runners are put together, in seconds.
+"""Time for which updates about runners are batched before they are broadcast, in seconds.
 
-59 runners that load at once, told one by one to 195 routers, are 11,500 datagrams in a moment: at
-10 Mbit/s they hold the reports up, loads are put off for want of them and begun, and told, again.
+If 59 runners start to load at once, separate updates to 195 routers are 11,500 datagrams.  On a
+10 Mbit/s link they delay the runners' reports, so that loads are postponed for lack of a report,
+started again and broadcast again.
 """
 
 
 class WeightsTeller:
-    """Tells news of runners, those of a moment together."""
+    """Broadcasts updates about the weights of runners in batches."""
 
     def __init__(self, loop: Loop, peers: Peers) -> None:
         self._loop = loop
@@ -23,7 +24,7 @@
         self._to_tell: dict[tuple[str, int, bool], list[str]] = {}
 
     def tell(self, instance: str, model: str, version: int, is_loaded: bool) -> None:
-        """Tell that a runner begins to load a version, or has it now."""
+        """Add an update: a runner is loading a version, or has loaded it."""
         if not self._to_tell:
             self._loop.call_later(TOLD_TOGETHER_S, self._tell_together)
         self._to_tell.setdefault((model, version, is_loaded), []).append(instance)
@@ -35,7 +36,7 @@
 
 
 def take_weights_news(world: World, news: WeightsNews) -> None:
-    """Take in that runners load weights or have them now."""
+    """Apply an update about runners that are loading weights or have loaded them."""
     for instance in news.instances:
         state = world.pool.state(instance)
         if state is not None:
--- a/src/martenrun/router/weights_roll.py
+++ b/src/martenrun/router/weights_roll.py
@@ -1,7 +1,7 @@
-"""Bringing runners to the weights that the operator has named: one lease holder, few at a time.
+"""Rolls out new target weights: the lease holder orders runners to load them, a few at a time.
 
-The plan is pure (:mod:`martenrun.router.roll_plan`); :class:`WeightsRoller` carries it out.
-Versions that have been overtaken are never ordered.
+:mod:`martenrun.router.rollout_plan` selects the runners without I/O; :class:`WeightsRollout` sends
+the orders.  Only the newest target version of a model is ordered.
 """
 
 import math
@@ -29,20 +29,20 @@
 from martenrun.router.world import World
 
 TICK_S = 0.1
-"""How often the roll is looked at while runners lack weights, in seconds."""
+"""Interval between steps of a rollout, in seconds."""
 
 RANK_DELAY_S = 0.7
-"""How much later each next router looks at the lease at all, in seconds."""
+"""Additional delay per rank before a router tries to acquire the lease, in seconds."""
 
 REPORT_TIMEOUT_S = 0.4
 ORDER_TIMEOUT_S = 0.6
-"""How long a runner's answer to the control interface is waited for, in seconds."""
+"""Timeouts of calls to a runner's control interface, in seconds."""
 
 REPORT_INTERVAL_S = 0.2
-"""How often a loading runner is asked for its report, in seconds."""
+"""Interval at which a loading runner is asked for its report, in seconds."""
 
 ORDER_AGAIN_S = 1.0
-"""Time after an order without effect until it is given again, in seconds."""
+"""Time after which an order without a known outcome may be sent again, in seconds."""
 
 STATUS_OK = 200
 MS_PER_S = 1000
@@ -50,14 +50,14 @@
 
 @attrs.define
 class WeightsLoad:
-    """A load of weights under way at a runner.
+    """A load of weights in progress at a runner.
 
     Attributes:
         instance: the runner's instance.
         model: the model.
-        version: the version ordered.
-        began_at: steady time from which no new requests are sent to the runner.
-        since: steady time of the last step.
+        version: the version to load.
+        began_at: monotonic time from which the runner gets no new requests, in seconds.
+        since: monotonic time of the last report request or order, in seconds.
         is_ordered: whether an order may have reached the runner.
     """
 
@@ -70,7 +70,7 @@
 
 
 class WeightsRoller:
-    """Gives the orders of this router while it holds the lease."""
+    """Orders runners to load target weights while this router holds the lease."""
 
     def __init__(self, world: World, peers: Peers, lease: Lease) -> None:
         self._world = world
@@ -91,18 +91,18 @@
         return self._world.decisions.roll.runs_end_s
 
     def check(self) -> None:
-        """Look whether runners lack weights; called after every change of what is known."""
+        """Schedule a step of the rollout; called after every change of targets or runners."""
         if not self._is_ticking:
             self._is_ticking = True
             self._world.loop.call_later(0, self._tick)
 
     def end_by(self, ends_at: float) -> None:
-        """Begin no load that cannot be ordered before a time; give the lease up by then."""
+        """Start no load that cannot be ordered before a time, and release the lease by then."""
         self._ends_at = ends_at
         self.check()
 
     def take_release(self, news: LeaseNews) -> None:
-        """Take in that another router has given the lease up."""
+        """Record that another router has released the lease."""
         record = LeaseRecord(
             news.holder, news.fencing_token, released_idle_s=news.idle_ms / MS_PER_S
         )
@@ -141,7 +141,7 @@
             self._lease.pursue(rank)
 
     def _is_at_its_end(self, models: list[str], now: float) -> bool:
-        """Whether this router ends and has nothing more to order."""
+        """Return whether this router is stopping and has nothing left to order."""
         if now >= self._ends_at or self._ends_at == math.inf:
             return now >= self._ends_at
         may_begin = bool(models) and now + self._runs_end_s <= self._ends_at
@@ -157,7 +157,7 @@
         return [name for name, item in wanted.items() if lacking(states, name, item.version)]
 
     def _rank(self) -> int:
-        """Return this router's place among the living: the last holder, then by hashing."""
+        """Return this router's rank among the live routers: last holder first, then by hashing."""
         own = self._peers.own
         candidates = [own]
         candidates += [
@@ -194,10 +194,10 @@
             self._lease.reserve(instances, lambda done: self._on_reserved(states, model, done))
 
     def _earliest_loads(self, model: str) -> dict[str, float]:
-        """Return the times before which loads at runners are not begun.
+        """Return the times before which loads at runners are not started.
 
-        A runner that an earlier holder may have ordered stays in service until its runs have to end
-        for this router's order.
+        A runner that an earlier holder may have ordered stays in service until its requests have to
+        finish for an order of this router.
         """
         earliest = dict(self._not_before)
         for state in lacking(
@@ -209,7 +209,7 @@
         return earliest
 
     def _on_reserved(self, states: list[RunnerState], model: str, is_done: bool) -> None:
-        """Go on with loads once the lease object names their runners."""
+        """Continue with loads after their runners have been reserved in the lease object."""
         for state in states:
             if state.runner.instance not in self._loads:
                 continue
@@ -219,13 +219,13 @@
                 self._drop(state, "not_reserved")
 
     def _drop_unordered(self, model: str) -> None:
-        """Give up loads that this router may not order any more."""
+        """Cancel the loads of a model that have not been ordered, as the lease is lost."""
         for instance, load in list(self._loads.items()):
             if load.model == model and not load.is_ordered:
                 self._end_load(instance)
 
     def _end_load(self, instance: str) -> WeightsLoad | None:
-        """Forget a load; its runner is ordered again only after it is reserved anew."""
+        """Remove a load; its runner is ordered again only after a new reservation."""
         if instance not in self._unanswered_orders:
             self._lease.turns.finish(instance)
         return self._loads.pop(instance, None)
@@ -245,14 +245,14 @@
                 self._ask_report(state, model)
 
     def _note_done(self, instance: str, now: float) -> None:
-        """Take in that a load is over; learn how long loads take."""
+        """Remove a finished load and update the average load time."""
         load = self._end_load(instance)
         if load is not None and load.is_ordered:
             weight_of_new = self._world.decisions.roll.turn_weight
             self._turn_s += weight_of_new * (now - load.began_at - self._turn_s)
 
     def _tell(self, state: RunnerState, model: str, version: int, is_loaded: bool) -> None:
-        """Take in what a runner does now, and tell it to all routers in a moment."""
+        """Apply a runner's loading state here and broadcast it with the next batch."""
         instance = state.runner.instance
         take_weights_news(self._world, WeightsNews([instance], model, version, is_loaded))
         self._teller.tell(instance, model, version, is_loaded)
@@ -279,7 +279,7 @@
             self._drop(state, "report_unreadable")
             return
         if report.born_ms != state.runner.born_ms and report.born_ms is not None:
-            # It has started anew and its entry does not tell yet: its orders are counted anew.
+            # The runner has restarted and its entry is outdated: its order count began at zero.
             self._drop(state, "started_again")
             return
         has = report.weights.get(model, 0)
@@ -291,7 +291,7 @@
             self._order(state, model, wanted, report)
 
     def _may_order(self, load: WeightsLoad, report: RunnerReport) -> bool:
-        """Whether the runner's runs have ended, or have had their time to end."""
+        """Return whether the runner's requests have finished or had enough time to finish."""
         now = self._world.loop.now()
         if not self._lease.may_order(load.instance):
             return False
@@ -333,7 +333,7 @@
     def _on_ordered(
         self, answer: HttpAnswer | None, state: RunnerState, model: str, version: int
     ) -> None:
-        # It may have arrived as late as this.
+        # The order may have arrived as late as now.
         instance = state.runner.instance
         self._lease.note_order(instance)
         self._unanswered_orders.discard(instance)
@@ -351,7 +351,8 @@
             "order_failed", instance=instance, outcome=None if outcome is None else outcome.value
         )
         if outcome is None:
-            # It may have been taken, or be carried out later: reports tell, then it is repeated.
+            # The order may have been accepted or may still be executed; it is repeated if the
+            # reports do not show that it was.
             self._world.loop.call_later(ORDER_AGAIN_S, lambda: self._allow_again(instance))
         else:
             self._drop(state, outcome.value)
@@ -362,7 +363,7 @@
             load.is_ordered = False
 
     def _drop(self, state: RunnerState, reason: str) -> None:
-        """Give a runner's place to another for a moment."""
+        """Postpone a runner's load, so that another runner can load first."""
         now = self._world.loop.now()
         self._end_load(state.runner.instance)
         self._not_before[state.runner.instance] = now + 2 * REPORT_INTERVAL_S
--- a/tests/router/lease_world.py
+++ b/tests/router/lease_world.py
@@ -1,4 +1,4 @@
-"""Routers that pursue one lease on orders, in virtual time."""
+"""Simulates routers that compete for the lease on orders, in virtual time."""
 
 import itertools
 
@@ -16,7 +16,7 @@
 
 
 def order(loop, lease, runner=RUNNER):
-    """Reserve a runner and order it; return when."""
+    """Reserve a runner and order it; return the time of the order."""
     done = []
     lease.reserve([runner], done.append)
     loop.run_until(loop.now() + 0.01)
@@ -26,7 +26,7 @@
 
 
 def pursue_for(loop, leases, seconds, rank=0):
-    """Let leases pursue every tenth of a second; return who held it when."""
+    """Let routers acquire or renew the lease every 0.1 s; return (time, lease) while it is held."""
     held = []
     end = loop.now() + seconds
     while loop.now() < end:
@@ -52,7 +52,7 @@
 
 
 class Crowd:
-    """Routers that pursue one lease while they are restarted, stopped and cut from the store."""
+    """Routers that compete for a lease through restarts, pauses and failures of the store."""
 
     def __init__(self, loop, store, rng, runners=(RUNNER,)):
         self.runners = runners
@@ -96,7 +96,7 @@
             self.store.loses_answers = action == "lose answers"
 
     def order(self):
-        """Let every holder order the runners that it may, and reserve some that it has not."""
+        """Let each holder order the runners that it may order and reserve the others."""
         for name, lease in self.routers.items():
             for runner in self.runners:
                 if lease.may_order(runner):
--- a/tests/router/test_budget.py
+++ b/tests/router/test_budget.py
@@ -1,4 +1,4 @@
-"""The retry budget: all nodes together stay within the ratio and the slack."""
+"""Tests that the retries of all routers together stay within the retry budget."""
 
 from hypothesis import given
 from hypothesis import strategies as st
@@ -30,9 +30,9 @@
 
 
 class Fleet:
-    """Routers that repeat as often as their budgets let them; some are restarted at times.
+    """Routers that retry as often as their budgets allow, with restarts.
 
-    A life counts its own requests and repeats only: what an earlier one spent is lost with it.
+    Each incarnation only counts its own requests and retries; the counts of earlier ones are lost.
     """
 
     def __init__(self, nodes, requests_per_s):
@@ -43,7 +43,7 @@
         self.asked = []
 
     def play(self, restarts, seconds):
-        """Let time pass in steps of 0.1 s; ``restarts`` tells who starts anew at each."""
+        """Simulate steps of 0.1 s; ``restarts`` returns the routers that restart at a step."""
         for step in range(int(seconds * 10)):
             now = step / 10
             for node in restarts(step):
@@ -57,7 +57,7 @@
                     self.sent.append(now)
 
     def worst_share(self):
-        """Return the largest part of the allowance that any ten seconds have used."""
+        """Return the largest share of the allowance that was used in any ten seconds."""
         worst = 0.0
         for begin in range(60):
             repeats = sum(begin <= at < begin + 10 for at in self.sent)
@@ -72,15 +72,15 @@
     "in turn": lambda step: [(step // 10) % 7] if step % 10 == 0 else [],
     "all, each 4 s": lambda step: range(7) if step % 40 == 0 else [],
 }
-"""Which of seven routers start anew at each step of 0.1 s."""
+"""For each pattern the routers, of seven, that restart at a step of 0.1 s."""
 
 
 def test_restarts_spend_no_share_twice():
-    """Repeats of all lives together, counted where they arrive, stay within the allowance.
+    """Guards against exceeding the allowance after restarts, counted over all incarnations.
 
-    Seen: more repeats than allowed in ten seconds, with troubles of routers and runners together.
-    How it can come about: a share that was spent is lost with its process; the next life has it
-    anew within the same window.  Not shown by a trace of the day itself.
+    In a run with failures of routers and runners more retries than allowed arrived in ten seconds.
+    A possible cause, not confirmed by a trace: the count of spent retries is lost with its process,
+    and the next incarnation could spend the same share again within the window.
     """
     shares = {}
     for name, restarts in RESTARTS.items():
--- a/tests/router/test_lease.py
+++ b/tests/router/test_lease.py
@@ -1,4 +1,4 @@
-"""The lease on orders: one holder at a time, and tokens that only rise."""
+"""Tests of the lease on orders: one holder at a time and increasing fencing tokens."""
 
 import pytest
 
@@ -28,7 +28,10 @@
 
 
 def test_renewals_change_the_object(loop, store):
-    """A write that changes nothing gives no revision, and another could replace it."""
+    """Guards against a takeover during a renewal.
+
+    A write without a change creates no new revision, so that another router could replace it.
+    """
     pursue_for(loop, [made(loop, store, "n1")], 4.0)
     revisions = [spec["renewals"] for _, spec in store.writes]
     assert len(revisions) >= 2
@@ -119,7 +122,7 @@
 
 
 def test_whoever_reads_a_lease_that_was_given_up_takes_it_at_once(loop, store):
-    """The news that it was given up may be lost."""
+    """Guards against a delay if the broadcast of the release is lost."""
     first, second = made(loop, store, "n1#1"), made(loop, store, "n2#1")
     pursue_for(loop, [first], 1.0)
     first.release(lambda *_: None)
@@ -184,7 +187,7 @@
 
 
 def test_how_long_versions_have_been_known_outlasts_a_loss_of_power(loop, store):
-    """All routers restart at once: none of them knows since when older weights are too old."""
+    """Guards against losing the deadlines of old weights when all routers restart at once."""
     known = {"m": [(2, 9_000), (3, 4_000)]}
     first = Lease(loop, store, DIALECT, "weights", "n1#1", LEASE_S, lambda: known)
     pursue_for(loop, [first], 2.0)
--- a/tests/router/test_lease_orders.py
+++ b/tests/router/test_lease_orders.py
@@ -1,4 +1,4 @@
-"""Orders under the lease: those of two routers to one runner lie its length apart."""
+"""Tests that orders of two routers to one runner are at least the lease length apart."""
 
 import itertools
 import random
@@ -24,7 +24,7 @@
 @pytest.mark.parametrize("seed", range(40))
 @pytest.mark.parametrize("runners", [("r1",), ("r1", "r2", "r3")], ids=["one", "three"])
 def test_orders_of_two_routers_to_a_runner_always_lie_a_lease_apart(loop, store, seed, runners):
-    """Orders are judged at each runner; with one runner, over all orders."""
+    """Holds at each runner; with a single runner this covers all orders."""
     crowd = Crowd(loop, store, random.Random(seed), runners)
     crowd.run(400.0)
     for runner in runners:
@@ -40,7 +40,10 @@
 
 
 def test_a_successor_orders_at_once_whom_the_dead_holder_had_not_reserved(loop, store):
-    """Callers had no runner with weights in time while three holders ended in turn (seed 1008)."""
+    """Guards against late loads after several failed holders.
+
+    With three holders failing in turn no runner had current weights in time (soak seed 1008).
+    """
     first, second = made(loop, store, "n1#1"), made(loop, store, "n2#1")
     pursue_for(loop, [first, second], 1.0)
     order(loop, first, "r1")
@@ -75,7 +78,7 @@
 
 
 def test_after_a_holder_of_an_older_version_every_runner_waits(loop, store):
-    """Its record does not tell whom it has ordered."""
+    """Guards against early orders after a record that does not list the ordered runners."""
     old, second = made(loop, store, "n1#1"), made(loop, store, "n2#1")
     pursue_for(loop, [old, second], 1.0)
     del store.objects["weights"]["spec"]["ordered_ms"]
@@ -104,7 +107,7 @@
 
 
 def test_a_reservation_that_is_given_up_meanwhile_keeps_no_other_waiting(loop, store):
-    """Its runner is gone: the lease object was written anew ten times a second for it."""
+    """Guards against a write every 0.1 s for the reservation of a runner that has left."""
     lease = made(loop, store, "n1#1")
     pursue_for(loop, [lease], 1.0)
     done = []
@@ -118,7 +121,7 @@
 
 
 def test_a_runner_ordered_before_is_not_taken_for_reserved(loop, store):
-    """The write under way tells of its last order only."""
+    """Guards against confirmation by a write that only contains the time of an earlier order."""
     lease = made(loop, store, "n1#1")
     pursue_for(loop, [lease], 1.0)
     order(loop, lease)
--- a/tests/router/test_retry.py
+++ b/tests/router/test_retry.py
@@ -1,4 +1,4 @@
-"""Requests that must not run twice are never sent again once they may have run."""
+"""Tests of the action after a failed attempt, in particular for unsafe requests."""
 
 from hypothesis import given
 from hypothesis import strategies as st
--- a/tests/router/test_roll_plan.py
+++ b/tests/router/test_roll_plan.py
@@ -1,4 +1,4 @@
-"""Which runners are ordered to load weights, and when."""
+"""Tests of the selection of runners that load new weights."""
 
 import pytest
 
@@ -35,7 +35,7 @@
 
 
 def test_the_oldest_weights_go_first():
-    """A runner moved to an overtaken version must not keep others waiting past their time."""
+    """Guards against delaying runners past their deadline by updating newer ones first."""
     some = [state(f"i-{number}", weights={"m": 2}) for number in range(5)]
     some.append(state("i-5", weights={"m": 1}))
     some[0].in_flight = 0
@@ -79,7 +79,7 @@
 
 
 def test_runners_too_old_to_serve_load_all_at_once():
-    """They serve nobody until they have loaded: waiting for each other only costs time."""
+    """Guards against a needless wait of runners that get no requests until they have loaded."""
     some = runners(6) + [state(f"j-{number}", weights={"m": 2}) for number in range(3)]
     namings = [(85.0, 1), (90.0, 2), (95.0, 3)]
     ordered = runners_to_order(ask(version=3, namings=namings, bound_s=BOUND_S), some)
@@ -97,7 +97,7 @@
 
 
 def test_a_runner_that_cannot_load_does_not_make_all_others_hurry():
-    """A crashed runner near its bound drew all runners out of service at once."""
+    """Guards against a crashed runner near its deadline taking all runners out of service."""
     some = [state("i-0"), *(state(f"j-{number}", weights={"m": 3}) for number in range(3))]
     namings = [(80.0, 1), (91.5, 2), (95.5, 3), (99.5, 4)]
     ordered = runners_to_order(ask(version=4, namings=namings, bound_s=BOUND_S), some)
@@ -105,7 +105,10 @@
 
 
 def roll(count, turn_s, namings, end):
-    """Play a roll; return the worst time by which a load began after its runner's bound."""
+    """Simulate a rollout; return the largest delay of a load and the most parallel loads.
+
+    The delay of a load is the time from its runner's deadline until its start.
+    """
     states = runners(count)
     loading, worst, most, now = {}, -BOUND_S, 0, namings[0][0]
     while now < end:
--- a/tests/router/test_weights_roll.py
+++ b/tests/router/test_weights_roll.py
@@ -1,4 +1,4 @@
-"""Orders of weights in large deployments: what the holder tells of many runners at once."""
+"""Tests of the broadcasts during a rollout of weights to many runners."""
 
 from types import SimpleNamespace
 
@@ -14,14 +14,14 @@
 
 
 def world_of(states):
-    """What a roller needs of a world with some runners."""
+    """Return the request services that a rollout uses, with some runners."""
     by_instance = {state.runner.instance: state for state in states}
     pool = SimpleNamespace(state=by_instance.get, all_states=lambda: states)
     return SimpleNamespace(loop=FakeLoop(), pool=pool, decisions=Decisions())
 
 
 def test_runners_that_begin_to_load_in_one_moment_are_told_in_one_message():
-    """59 runners told one by one to 195 routers are 11,500 datagrams, which hold reports up."""
+    """Guards against 11,500 datagrams for 59 runners and 195 routers, which delay reports."""
     states = [RunnerState(runner(f"i-{n}")) for n in range(RUNNERS)]
     world = world_of(states)
     told = []
