--- a/src/martenrun/router/limit_messages.py
+++ b/src/martenrun/router/limit_messages.py
@@ -1,4 +1,4 @@
-"""Datagrams in which routers tell each other the rate limits that runners advertise."""
+"""Datagrams in which routers exchange the rate limits that runners advertise."""
 
 import msgspec
 
@@ -11,7 +11,7 @@
         requests_per_s: rate limit shared by all routers.
         recovery_steps: number of increases since the runner stopped advertising a limit.
         changed_ago_ms: time since the limit last changed, in milliseconds.
-        confirmed_ago_ms: time since an answer of the runner last confirmed it, in milliseconds.
+        confirmed_ago_ms: time since a response of the runner last confirmed it, in milliseconds.
     """
 
     instance: str
--- a/src/martenrun/router/runner_access.py
+++ b/src/martenrun/router/runner_access.py
@@ -27,11 +27,11 @@
         self._granted: tuple[RunnerState, Grant | None] | None = None
 
     def may_send(self, state: RunnerState) -> bool:
-        """Whether the request may be sent to a runner without obtaining a grant first."""
+        """Return whether the request may be sent to a runner without obtaining a grant first."""
         return self.has_grant(state) or not self._is_limited(state)
 
     def has_grant(self, state: RunnerState) -> bool:
-        """Whether a grant for a runner, or permission to probe it, is held.
+        """Return whether a grant for a runner, or permission to probe it, is held.
 
         Always true without a quota gate, since no grant can be obtained.
         """
@@ -40,7 +40,7 @@
         return self._granted is not None and self._granted[0] is state
 
     def obtain(self, state: RunnerState, on_decided: Callable[[Grant], None]) -> None:
-        """Ask for a grant; if it is refused, the runner is skipped for some time."""
+        """Request a grant; if it is refused, the runner is skipped for some time."""
         gate = self._world.quotas
         limit = self._world.runner_limits.limit(state.runner.instance)
         assert gate is not None and limit is not None
--- a/src/martenrun/router/runner_doubts.py
+++ b/src/martenrun/router/runner_doubts.py
@@ -1,34 +1,38 @@
-"""Doubts about runners that several routers share: who has gone silent is found out once.
+"""Shared detection of unresponsive runners from the reports of several routers.  No I/O or clock.
 
-Each of many routers sends a runner a request every minute or so: if each had to find out by itself
-that a runner is silent, nearly every request that is meant for it would be late.  So a router that
-hears nothing from a runner, while it hears from others, tells all routers; a runner that two of
-them doubt is passed over by all for a while, then tried again by a few at a time.  Pure, apart from
-the times handed in.
+In a large deployment each router sends a given runner about one request a minute.  If every router
+had to detect an unresponsive runner on its own, nearly every request for it would be late.
+Therefore a router that gets no data from a runner, while it gets data from others, reports that to
+all routers.  A runner reported by two routers is suspected and skipped by all for some time; then a
+few routers at a time try it again.
 """
 
 import random
 
 LEAST_DOUBTERS = 2
-"""Routers that must doubt a runner: the path of a single one may be cut."""
+"""Number of routers that must report a runner, as a single one may have lost its connection."""
 
 DOUBT_MEMORY_S = 3.0
-"""How long a router's doubt counts, in seconds."""
+"""Time for which a router's report is valid, in seconds."""
 
 FIRST_PASSED_OVER_S = 2.0
 LONGEST_PASSED_OVER_S = 8.0
-"""How long a doubted runner is passed over, in seconds; twice as long each time in a row.
+"""Shortest and longest time for which a suspected runner is skipped, in seconds.
 
-With 3.5 prompts a second meant for a runner that is silent for 14 s less than 0.45 of them are lost
-to it, instead of nearly all (195 routers, drawn times, mean of 20).
+The time doubles with each suspicion in a row.  With 3.5 prompts per second for a runner that is
+unresponsive for 14 s, less than 0.45 of them are sent to it instead of nearly all (195 routers,
+random times, mean of 20 runs).
 """
 
 SPREAD = 0.5
-"""By how much longer, at most, some routers pass over it: the first to try find out for all."""
+"""Maximum random extension of that time as a share of it.
+
+It spreads the retries of the routers, so that the first ones test the runner for all.
+"""
 
 
 class RunnerDoubts:
-    """What routers doubt of one runner."""
+    """Reports of routers that find one runner unresponsive."""
 
     def __init__(self, rng: random.Random | None = None) -> None:
         self._rng = rng or random.Random()
@@ -37,7 +41,7 @@
         self._until = 0.0
 
     def note(self, router: str, now: float) -> None:
-        """Take in that a router hears nothing from the runner."""
+        """Record the report of a router that gets no data from the runner."""
         recent = {key: at for key, at in self._doubted_at.items() if now - at <= DOUBT_MEMORY_S}
         self._doubted_at = {**recent, router: now}
         if len(self._doubted_at) < LEAST_DOUBTERS or now < self._until:
@@ -48,11 +52,11 @@
         self._doubted_at.clear()
 
     def end(self) -> None:
-        """Take in that the runner answers this router."""
+        """Clear all reports because the runner has sent data to this router."""
         self._doubted_at.clear()
         self._passed_over_s = 0.0
         self._until = 0.0
 
     def hold(self, now: float) -> bool:
-        """Whether the runner is to be passed over."""
+        """Return whether the runner is suspected and therefore skipped."""
         return now < self._until
--- a/src/martenrun/router/runner_life.py
+++ b/src/martenrun/router/runner_life.py
@@ -1,24 +1,24 @@
-"""One start of a runner, told apart from earlier and later ones under the same id.
+"""Keys that distinguish the instances of a runner, that is, successive starts under the same id.
 
-A runner that starts again may keep its id, and then holds and knows nothing of before.  All that is
-believed of a runner is therefore kept under the key of one start, in every table and in all that
-routers tell each other: once the entry of another start is known, beliefs of the one before are
-under a key that nobody asks for, and late news of it finds no runner.
+A restarted runner may keep its id but has lost its cache and its requests.  All tables and all
+messages between routers therefore identify a runner by the key of its instance.  When the entry of
+a new instance arrives, the state of the previous one is no longer looked up, and late updates about
+it match no runner.
 
-Which start is the newer one is told by the revisions of the store, never by the times of birth:
-clocks may step back between two starts.
+The newer of two instances is determined by the revisions of the store and never by start times,
+because the runner's clock may have been set back between two starts.
 """
 
 DIGITS = 5
-"""Hexadecimal digits of a birth in a key: two starts in a row have the same once in a million."""
+"""Hexadecimal digits of the start time in a key; successive starts collide once in a million."""
 
 
 def life_key(name: str, born_ms: int | None) -> str:
-    """Return the key of one start of a runner.
+    """Return the key of a runner instance.
 
     Args:
-        name: its id, which stays the same.
-        born_ms: when it started by its own clock, in milliseconds; None where it does not tell.
+        name: id of the runner, which is the same for all its instances.
+        born_ms: start time by the runner's own clock, in milliseconds; None if not reported.
     """
     if born_ms is None:
         return name
--- a/src/martenrun/router/runner_limits.py
+++ b/src/martenrun/router/runner_limits.py
@@ -1,8 +1,8 @@
-"""Rate limits that runners advertise in their answers, shared among all routers.
+"""Rate limits that runners advertise in their responses, shared among all routers.
 
-Routers tell each other of every change, with a monotonically increasing version and with ages.  A
-limit is lifted in steps so that a recovering runner does not receive the full load at once.  No
-I/O; callers pass in the time.
+Routers broadcast every change with a monotonically increasing version and with ages.  A limit is
+lifted in steps so that a recovering runner does not receive the full load at once.  No I/O or
+clock.
 """
 
 import random
@@ -22,7 +22,7 @@
 """
 
 MINIMUM_REQUESTS_PER_S = 0.1
-"""Lower bound of the enforced rate, so that answers can still show that a runner has recovered."""
+"""Lower bound of the enforced rate, so that responses can show that a runner has recovered."""
 
 MAXIMUM_REQUESTS_PER_S = 1e6
 
@@ -39,23 +39,23 @@
 """Minimum time between two recovery steps, in seconds."""
 
 TOLD_AGAIN_S = 1.0
-"""Minimum interval at which a confirmed limit is told again, in seconds."""
+"""Minimum interval at which a confirmed limit is broadcast again, in seconds."""
 
 CHANGE_TOLD_AGAIN_S = 0.5
-"""Interval at which a change is told again, in seconds."""
+"""Interval at which a change is broadcast again, in seconds."""
 
 CHANGE_REPEATS = 3
-"""Number of times a change is told again, in case datagrams are lost."""
+"""Number of times a change is broadcast again, in case datagrams are lost."""
 
 RECORDS_PER_DATAGRAM = 500
 """Maximum number of limits in one datagram."""
 
 PROBE_AFTER_S = (20.0, 40.0)
-"""Range of the time without an answer after which a router that reaches no account owner sends a
+"""Range of the time without a response after which a router that reaches no account owner sends a
 probe, in seconds."""
 
 RECOVERY_PROBE_S = 1.0
-"""Time without an answer before a probe while the limit is being lifted, in seconds."""
+"""Time without a response before a probe while the limit is being lifted, in seconds."""
 
 
 @attrs.define
@@ -66,13 +66,13 @@
         version: the limit with the higher version takes precedence.
         requests_per_s: rate limit shared by all routers.
         changed_at: monotonic time at which the limit last changed, in seconds.
-        confirmed_at: monotonic time of the latest answer that confirms it, in seconds.
+        confirmed_at: monotonic time of the latest response that confirms it, in seconds.
         recovery_steps: number of increases since the runner stopped advertising a limit.
-        observed_at: monotonic time of the latest confirming answer to this router, in seconds.
-        told_at: monotonic time at which all routers were last told, in seconds.
-        repeats_left: number of times a change is still to be told again.
+        observed_at: monotonic time of the latest confirming response to this router, in seconds.
+        told_at: monotonic time of the last broadcast, in seconds.
+        repeats_left: number of broadcasts left to repeat a change.
         probed_at: monotonic time of the last request sent without a grant, in seconds.
-        probe_after_s: time without an answer after which a probe may be sent, in seconds.
+        probe_after_s: time without a response after which a probe may be sent, in seconds.
     """
 
     version: int
@@ -113,7 +113,7 @@
     """Rate limits by runner instance.
 
     Args:
-        tell: sends news to all routers.
+        tell: broadcasts an update to all routers.
         on_changed: called with the instance whose limit has changed.
         count: counts an event, by outcome.
     """
@@ -139,10 +139,10 @@
         found = self._limits.get(instance)
         return None if found is None or found.is_over else found
 
-    # Answers
+    # Responses of runners
 
     def note_advertised(self, instance: str, advertised: AdvertisedLimit, now: float) -> None:
-        """Record the limit that an answer advertises; an invalid one changes nothing."""
+        """Record the limit that a response advertises; an invalid one changes nothing."""
         rate = advertised.requests_per_s
         if rate is None:
             self.count("unreadable")
@@ -156,10 +156,10 @@
         self._change(instance, RunnerLimit(version, rate, now, now), "named", now)
 
     def note_absent(self, instance: str, sent_at: float, now: float) -> None:
-        """Record that an answer advertises no limit, which may start the next recovery step.
+        """Record that a response advertises no limit, which may start the next recovery step.
 
         Args:
-            sent_at: monotonic time at which the request was sent, in seconds.  The answer to a
+            sent_at: monotonic time at which the request was sent, in seconds.  The response to a
                 request sent before the limit was advertised may predate the limit.
         """
         known = self.limit(instance)
@@ -181,7 +181,7 @@
     # Other routers
 
     def take(self, news: LimitNews, now: float) -> None:
-        """Merge news from another router."""
+        """Merge an update from another router."""
         for record in news.records:
             self._merge(record, now)
 
@@ -204,7 +204,7 @@
                 self._put(record.instance, received, "heard", "router", now)
 
     def newcomer_news(self, now: float) -> LimitNews | None:
-        """Return the news for a newly discovered router; None if there are no limits."""
+        """Return an update for a new router, or None if there are no limits."""
         if not len(self):
             return None
         active = [item for item in self._limits.items() if not item[1].is_over]
@@ -212,7 +212,7 @@
         return LimitNews(records)
 
     def tell_again(self, now: float) -> None:
-        """Tell again of recent changes and of limits confirmed by answers to this router."""
+        """Repeat broadcasts of recent changes and of limits that this router saw confirmed."""
         due = []
         for instance, limit in self._limits.items():
             is_change = limit.repeats_left > 0
@@ -228,7 +228,7 @@
     # Probes
 
     def allow_probe(self, instance: str, now: float) -> bool:
-        """Whether one request may be sent although no account owner answers.
+        """Return whether a request may be sent although no account owner responds.
 
         Without probes a partitioned router could not detect that a limit was lifted.
         """
--- a/src/martenrun/router/runner_state.py
+++ b/src/martenrun/router/runner_state.py
@@ -1,4 +1,4 @@
-"""What a router believes of each runner beyond its entry in the list, learned from outcomes."""
+"""A router's view of each runner: load, weights and health, learned from requests and updates."""
 
 import math
 
@@ -8,44 +8,47 @@
 from martenrun.router.runner_doubts import RunnerDoubts
 
 FAILURE_HALF_LIFE_S = 2.0
-"""Time in which the memory of failures fades to a half, in seconds."""
+"""Half-life of the failure score, in seconds."""
 
 AVOIDED_FROM = 2.5
-"""Failures remembered from which a runner is avoided while others serve."""
+"""Failure score from which a runner is avoided while other runners are usable."""
 
 LOADING_MEMORY_S = 4.0
-"""How long a runner that was told to load is believed to be loading without news, in seconds."""
+"""Time for which a runner counts as loading without a further update, in seconds."""
 
 SILENT_AFTER_S = 0.7
-"""Time without a byte from a runner that owes answers until it counts as silent, in seconds."""
+"""Time without a byte after which a runner with pending requests is unresponsive, in seconds."""
 
 SLOW_TOKENS_PER_S = 12_000.0
-"""How fast a runner reads at least: one that has much to read may be silent for longer."""
+"""Assumed minimum prefill rate, by which the time is extended for a runner with a backlog."""
 
 
 @attrs.define
 class RunnerState:
-    """Beliefs about one incarnation of a runner.
+    """The known state of a runner instance.  Times are monotonic, in seconds.
 
     Attributes:
-        runner: its entry.
-        in_flight: requests of this router that it works on.
-        elsewhere: the same of all other routers, as they last told.
-        reading: tokens that it is believed to have still to read for this router's requests.
-        reading_elsewhere: the same for all other routers.
-        reading_told, reading_told_at: what others were last told of ``reading`` at once, and when.
-        held: tokens of memory that this router's requests take there, cached parts left out.
-        held_elsewhere: the same for all other routers.
-        learned: versions of weights that its answers or other routers told of.
-        loading_until: until when it is believed to be loading weights.
-        full_until: until when it is believed to have no room.
-        waiting_since: since when it has owed this router answers and sent nothing, or None.
-        heard_at: when it last sent this router something.
-        unanswered_since: when a connection to it was begun that has not come up in time, or None.
-        limited_until: until when this router sends it nothing because of its rate limit.
+        runner: its entry in the store.
+        in_flight: number of requests of this router that it is serving.
+        elsewhere: number of requests of other routers that it is serving, as last reported.
+        reading: estimated pending prefill of this router's requests, in tokens.
+        reading_elsewhere: estimated pending prefill of other routers' requests, in tokens.
+        reading_told: ``reading`` as last broadcast to other routers.
+        reading_told_at: time of that broadcast.
+        held: KV cache tokens of this router's requests, without cached prompt parts.
+        held_elsewhere: KV cache tokens of other routers' requests.
+        learned: versions of weights by model, from responses and updates of other routers.
+        loading_until: time until which it counts as loading weights.
+        full_until: time until which it counts as having no capacity.
+        waiting_since: time since which it has pending requests and has sent nothing, or None.
+        failures: failure score as of ``failures_at``.
+        failures_at: time of the last change of the failure score.
+        heard_at: time at which it last sent data to this router.
+        unanswered_since: start of a connection attempt that has taken too long, or None.
+        limited_until: time until which this router sends it no requests because of its rate limit.
         is_grant_pending: whether a request of this router is waiting for a grant to be sent to it.
-        doubts: what routers doubt of it.
-        doubt_told_at: when this router last told others that it hears nothing from it.
+        doubts: reports of routers that find it unresponsive.
+        doubt_told_at: time at which this router last reported it as unresponsive.
     """
 
     runner: Runner
@@ -72,21 +75,21 @@
 
     @property
     def load(self) -> int:
-        """Requests that it works on, as far as is known."""
+        """Known number of requests that it is serving."""
         return self.in_flight + self.elsewhere
 
     @property
     def backlog_tokens(self) -> float:
-        """Tokens that it has still to read, as far as is known."""
+        """Known pending prefill, in tokens."""
         return self.reading + self.reading_elsewhere
 
     @property
     def held_tokens(self) -> int:
-        """Tokens of memory that running requests take, as far as is known."""
+        """Known KV cache use of running requests, in tokens."""
         return self.held + self.held_elsewhere
 
     def weights_version(self, model: str) -> int | None:
-        """Return the version of a model's weights that it is believed to have."""
+        """Return the newest known version of its weights for a model, or None."""
         listed = self.runner.weights.get(model)
         learned = self.learned.get(model)
         if listed is None or learned is None:
@@ -94,22 +97,22 @@
         return max(listed, learned)
 
     def learn_weights(self, model: str, version: int) -> None:
-        """Take in that it has a version; versions only rise."""
+        """Record that it has a version; an older one than known is ignored."""
         if version > self.learned.get(model, 0):
             self.learned[model] = version
 
     def note_failure(self, now: float, weight: float = 1.0) -> None:
-        """Remember a failure."""
+        """Add a failure to the score."""
         self.failures = self.remembered_failures(now) + weight
         self.failures_at = now
 
     def note_success(self, now: float) -> None:
-        """Forget half of what is held against it."""
+        """Halve the failure score."""
         self.failures = self.remembered_failures(now) / 2
         self.failures_at = now
 
     def remembered_failures(self, now: float) -> float:
-        """Return the failures remembered, faded with time."""
+        """Return the failure score, decayed to the current time."""
         if self.failures == 0.0:
             return 0.0
         return self.failures * math.exp2((self.failures_at - now) / FAILURE_HALF_LIFE_S)
@@ -121,31 +124,31 @@
         self.in_flight += 1
 
     def note_bytes(self, now: float) -> None:
-        """Note that it has sent something."""
+        """Record that it has sent data."""
         self.waiting_since = now
         self.heard_at = now
         self.unanswered_since = None
         self.doubts.end()
 
     def note_ended(self) -> None:
-        """Count a request that has ended."""
+        """Count a request that is finished."""
         self.in_flight -= 1
         if self.in_flight <= 0:
             self.waiting_since = None
 
     def is_silent(self, now: float) -> bool:
-        """Whether it owes answers and has sent nothing for a while."""
+        """Return whether it has pending requests and has sent no data for too long."""
         if self.waiting_since is None:
             return False
         patience_s = SILENT_AFTER_S + self.backlog_tokens / SLOW_TOKENS_PER_S
         return now - self.waiting_since > patience_s
 
     def is_limited(self, now: float) -> bool:
-        """Whether its rate limit prevents this router from sending it a request now."""
+        """Return whether its rate limit prevents this router from sending it a request now."""
         return self.is_grant_pending or now < self.limited_until
 
     def is_avoided(self, now: float) -> bool:
-        """Whether others are to be preferred whatever they cost."""
+        """Return whether any other usable runner is preferred, regardless of cost."""
         return (
             now < self.loading_until
             or now < self.full_until
--- a/src/martenrun/router/silence.py
+++ b/src/martenrun/router/silence.py
@@ -1,4 +1,4 @@
-"""Which runners this router hears nothing from, and what other routers tell of that."""
+"""Detects unresponsive runners and applies the reports of other routers about them."""
 
 from martenrun.router.log import log_event
 from martenrun.router.peer_messages import SilenceNews
@@ -6,13 +6,14 @@
 from martenrun.router.world import World
 
 TOLD_AGAIN_S = 1.5
-"""After how long a runner that stays silent is told of again, in seconds."""
+"""Interval at which a runner that stays unresponsive is reported again, in seconds."""
 
 
 def newly_silent(world: World, now: float) -> list[str]:
-    """Return the runners to tell of, and take them for told.
+    """Return the unresponsive runners to report, and record them as reported.
 
-    Only while others answer: a router that hears from none is cut off itself.
+    Only runners with more recent data from another runner are reported, because a router that gets
+    no data at all has lost its own connection.
     """
     states = world.pool.all_states()
     silent = [state for state in states if _is_to_be_told(state, now)]
@@ -35,13 +36,13 @@
 
 
 def _hears_from_another(silent: RunnerState, states: list[RunnerState]) -> bool:
-    """Whether any runner has sent something since the silent one has owed answers."""
+    """Return whether any runner has sent data since an unresponsive one should have."""
     since = silent.unanswered_since or silent.waiting_since
     return since is not None and any(state.heard_at > since for state in states)
 
 
 def take_silence(world: World, news: SilenceNews, now: float) -> None:
-    """Take in that a router hears nothing from a runner."""
+    """Record the report of a router that gets no data from a runner."""
     state = world.pool.state(news.instance)
     if state is None:
         return
--- a/tests/router/limit_world.py
+++ b/tests/router/limit_world.py
@@ -12,17 +12,17 @@
 
 INSTANCE = "i-1"
 KNOWN_WITHIN_S = 3.0
-"""Time from the first answer that advertises a limit until the bound holds, in seconds."""
+"""Time from the first response that advertises a limit until the bound holds, in seconds."""
 
 HEAD_DELAY_S = (0.04, 0.8)
-"""Range of the delay between a request and the head of its answer, in seconds."""
+"""Range of the delay between a request and the head of its response, in seconds."""
 
 STARTUP_GRACE_S = 1.0
 """Time after a router's start in which it may not have learned of the limit yet, in seconds."""
 
 
 class LimitedRouter:
-    """A router that tracks the limit of the runner and sends requests to it."""
+    """A router that tracks the runner's limit and sends requests to it."""
 
     def __init__(self, fleet, address):
         self.fleet = fleet
@@ -112,7 +112,7 @@
         del self.limited[address]
 
     def has_just_started(self, at, address):
-        """Whether a router had started too recently to have been told of the limit."""
+        """Return whether a router had started too recently to know the limit."""
         return any(began <= at < began + STARTUP_GRACE_S for began in self.starts[address])
 
     def advertise(self, per_s):
--- a/tests/router/test_runner_access.py
+++ b/tests/router/test_runner_access.py
@@ -1,4 +1,4 @@
-"""Every request sent to a rate-limited runner needs a grant, on every path."""
+"""Tests that every request sent to a rate-limited runner has a grant."""
 
 import attrs
 import pytest
@@ -64,7 +64,7 @@
 
 
 def play(script=(GOOD,) * 4, limited=("i-0", "i-1", "i-2"), left=0, gate=None, **more):
-    """Play one request against runners of which some are rate-limited."""
+    """Forward one request to runners of which some are rate-limited."""
 
     def before(played):
         limit_runners(played, *limited, left=left, **(gate or {}))
--- a/tests/router/test_runner_doubts.py
+++ b/tests/router/test_runner_doubts.py
@@ -1,7 +1,7 @@
-"""Runners that have gone silent: found out once for all routers, not by each of them.
+"""Tests of the shared detection of unresponsive runners.
 
-The load: 59 runners, a quarter of them silent for 14 s, 3.5 prompts a second meant for each, sent
-by 195 routers, so that one router sends a given runner one prompt a minute.
+The load is that of 195 routers and 59 runners, a quarter of which are unresponsive for 14 s.  Each
+runner is sent 3.5 prompts per second, about one a minute by each router.
 """
 
 import random
@@ -59,7 +59,7 @@
 
 
 def lost_prompts(routers_share, seed):
-    """Return how many prompts are sent to one silent runner until it is heard again."""
+    """Return the number of prompts sent to one runner while it is unresponsive."""
     rng = random.Random(seed)
     doubts = [RunnerDoubts(random.Random(n)) for n in range(ROUTERS)]
     now, lost, told = 0.0, 0, []
@@ -85,7 +85,7 @@
 
 
 class FewRunners:
-    """What the looks at silent runners need of a world."""
+    """The request services that the detection uses, with some runners."""
 
     def __init__(self, count):
         self.pool = self
--- a/tests/router/test_runner_limit_fleet.py
+++ b/tests/router/test_runner_limit_fleet.py
@@ -1,4 +1,4 @@
-"""Enforcement of one runner's rate limit by a fleet of routers under faults, in virtual time.
+"""Tests of the enforcement of a runner's rate limit by a fleet under failures, in virtual time.
 
 The bound applies to the arrivals from all routers, partitioned or not, in any window that starts
 after the limit must be known.
--- a/tests/router/test_runner_limit_table.py
+++ b/tests/router/test_runner_limit_table.py
@@ -1,4 +1,4 @@
-"""Tracking of the rate limits that runners advertise."""
+"""Tests of the tracking of rate limits that runners advertise."""
 
 import itertools
 
@@ -48,7 +48,7 @@
 
 
 def recover(limits, now):
-    """Record answers without a limit until it is lifted; return the times of changes."""
+    """Record responses without a limit until it is lifted; return the times of changes."""
     changes = []
     while limits.limit("i-1") is not None:
         rate = limits.limit("i-1").requests_per_s
@@ -85,7 +85,7 @@
 
 
 def deliver(news, now, limits=None):
-    """Deliver encoded news to a router's limits and return them."""
+    """Deliver an encoded update to a router's limits and return them."""
     limits = RunnerLimits() if limits is None else limits
     limits.take(decode(encode(news)), now)
     return limits
@@ -106,7 +106,7 @@
 
 
 def test_limit_is_told_again_only_by_routers_with_a_confirming_answer():
-    """Guards against second-hand news keeping a limit alive."""
+    """Guards against updates without a confirming response keeping a limit alive."""
     sent = []
     one, other = RunnerLimits(sent.append), RunnerLimits(sent.append)
     other.take(limit_news(1.0), 1.0)
@@ -153,7 +153,7 @@
 
 
 def test_news_of_many_limits_fits_in_datagrams():
-    """Guards against news that exceeds the maximum datagram size when there are many limits."""
+    """Guards against updates that exceed the maximum datagram size with many limits."""
     sent = []
     limits = RunnerLimits(sent.append)
     for number in range(2_000):
--- a/tests/router/test_runner_limits.py
+++ b/tests/router/test_runner_limits.py
@@ -1,6 +1,7 @@
-"""The fleet of routers enforces the rate limits that runners advertise.
+"""Tests that a fleet of routers enforces the rate limits that runners advertise.
 
-Runs real routers with stand-in runners; arrivals are counted at the runners, refused ones included.
+Runs real routers with stand-in runners.  Arrivals are counted at the runners, including requests
+that a runner refused.
 """
 
 import bisect
@@ -21,7 +22,7 @@
 MODEL_RUNNERS = 4
 WINDOW_S = 4.0
 KNOWN_WITHIN_S = 3.0
-"""Time from the first answer that advertises a limit until the bound holds, in seconds."""
+"""Time from the first response that advertises a limit until the bound holds, in seconds."""
 
 MEASURED_S = 10.0
 LIMIT_PER_S = 1.0
--- a/tests/router/test_runner_lives.py
+++ b/tests/router/test_runner_lives.py
@@ -1,4 +1,4 @@
-"""A runner that starts again under its id: all that was believed of its earlier start has ended."""
+"""Tests that no state of an earlier runner instance applies to a restarted runner."""
 
 import pytest
 
@@ -22,12 +22,12 @@
 
 
 def entry(born=BORN, **changes):
-    """The runner i-1 as it stands in the store."""
+    """Return the runner i-1 as read from the store."""
     return DIALECT.read_runner(StoredObject("i-1", 1, {**GOOD, "born": born, **changes}))
 
 
 class Listed:
-    """The runners that a router knows, and its beliefs about them."""
+    """The runners that a router knows and their state."""
 
     def __init__(self):
         self.loop = FakeLoop()
@@ -42,7 +42,7 @@
 
 @pytest.mark.parametrize("later", [BORN + 1, BORN + 60_000, BORN - 5_000], ids=str)
 def test_a_drained_runner_that_starts_again_is_ready(later):
-    """Also where its clock has gone back: the store's order of entries tells which is newer."""
+    """Covers clocks set back: the newer entry is determined by the store's revisions."""
     listed = Listed()
     listed.put(entry(state="draining"))
     listed.put(entry(state="ready"))
@@ -97,7 +97,7 @@
 
 
 def test_a_request_at_a_runner_that_started_again_goes_on_elsewhere_at_once():
-    """The connection may stay silent for long where the runner crashed behind a cut."""
+    """Guards against a long wait on the connection of a runner that crashed while unreachable."""
     played = Played(states=[state("i-0~1", name="i-0")])
     played.world.runners.put(played.states[0].runner)
     assert played.pool.sent == ["i-0~1"]
