--- a/src/martenrun/platform/contents.py
+++ b/src/martenrun/platform/contents.py
@@ -29,7 +29,7 @@
     WeightedService,
 )
 from martenrun.router.quotas.limit import RateLimit
-from martenrun.router.runner_life import life_key
+from martenrun.router.runner_instance import instance_key
 
 _MS = 1000.0
 
@@ -256,7 +256,7 @@
     """Translate a runner's entry; raises UnreadableError."""
     entry = _read(stored.spec, _RunnerEntry, "entry of a runner")
     return Runner(
-        instance=life_key(stored.name, entry.born),
+        instance=instance_key(stored.name, entry.born),
         service=entry.service,
         address=entry.address,
         zone=entry.zone,
--- a/src/martenrun/router/admission.py
+++ b/src/martenrun/router/admission.py
@@ -3,23 +3,23 @@
 import attrs
 
 from martenrun.net.server import Exchange
-from martenrun.router.decisions import DEFAULTS
 from martenrun.router.log import log_trouble
 from martenrun.router.messages import Admitted, Call
 from martenrun.router.route_table import RouteTable, SplitCounter
+from martenrun.router.tuning import DEFAULTS
 from martenrun.router.world import World
 
 KEY_AGE_MARGIN_S = 0.3
 """Margin before the bound on revoked keys at which API keys count as too old, in seconds."""
 
-BEHIND_MARGIN_S = 0.5
+LAG_MARGIN_S = 0.5
 """Margin before the bound on configuration changes at which a lagging router stops serving.
 
 In seconds.  A router learns of a newer version some tenths of a second after the first router has
 it, and a request may wait as long before it is forwarded.
 """
 
-NO_DEADLINE_S = 30.0
+DEFAULT_DEADLINE_S = 30.0
 """Deadline of requests without one, in seconds."""
 
 
@@ -41,7 +41,7 @@
         self._world = world
         self._splits = SplitCounter()
 
-    def read(self, exchange: Exchange) -> Call | Refusal:
+    def read_call(self, exchange: Exchange) -> Call | Refusal:
         """Parse a request; refuse a malformed one with 400."""
         try:
             call = self._world.dialect.read_call(exchange.request)
@@ -49,7 +49,7 @@
             return Refusal(400, "unreadable")
         return call if call.request_id else Refusal(400, "no_request_id")
 
-    def decide(self, exchange: Exchange, call: Call) -> Admitted | Refusal:
+    def admit(self, exchange: Exchange, call: Call) -> Admitted | Refusal:
         """Admit or refuse a request by the current configuration."""
         now = self._world.loop.now()
         table = self._world.configuration.table
@@ -68,7 +68,7 @@
             if tenant is None:
                 return Refusal(401, "unknown_key")
         received_at = exchange.request.received_at
-        deadline_s = NO_DEADLINE_S if call.deadline_s is None else call.deadline_s
+        deadline_s = DEFAULT_DEADLINE_S if call.deadline_s is None else call.deadline_s
         deadline_at = received_at + deadline_s
         return Admitted(
             call=call,
@@ -81,7 +81,7 @@
 
     def _is_behind(self, now: float) -> bool:
         """Return whether a newer configuration should have been applied here by now."""
-        bound_s = self._world.settings.bounds.configuration_s - BEHIND_MARGIN_S
+        bound_s = self._world.settings.bounds.configuration_s - LAG_MARGIN_S
         return self._world.configuration.behind_s(now) > bound_s
 
     def _are_keys_too_old(self, now: float) -> bool:
@@ -95,7 +95,7 @@
         return self._world.configuration.table
 
 
-def refuse(exchange: Exchange, refusal: Refusal, call: Call | None) -> None:
+def send_refusal(exchange: Exchange, refusal: Refusal, call: Call | None) -> None:
     """Send the final response to a request that is not forwarded."""
     headers = (
         [(b"Retry-After", b"%.2f" % DEFAULTS.forwarding.retry_after_s)]
--- a/src/martenrun/router/attempt.py
+++ b/src/martenrun/router/attempt.py
@@ -10,7 +10,7 @@
 from martenrun.router.log import log_trouble
 from martenrun.router.messages import Admitted, AnswerMarks, RouteKind
 from martenrun.router.retry import Failure
-from martenrun.router.runner_state import LOADING_MEMORY_S, RunnerState
+from martenrun.router.runner_state import LOADING_TIMEOUT_S, RunnerState
 from martenrun.router.world import World
 
 FULL_MEMORY_S = 0.15
@@ -81,8 +81,8 @@
         self.has_begun = False
         self._began_at = world.loop.now()
         self._tokens_ahead = state.backlog_tokens + load.tokens_to_read
-        state.reading += load.tokens_to_read
-        state.held += load.tokens_held
+        state.pending_prefill_tokens += load.tokens_to_read
+        state.kv_cache_tokens += load.tokens_held
         world.note_reading(state)
         self.connection: ClientConnection | None = None
         self.was_sent = False
@@ -114,7 +114,7 @@
     def on_head(self, status: int, headers: Headers, length: int | None) -> None:
         """An answer has begun; one that cannot be the runner's ends the attempt."""
         now = self._world.loop.now()
-        self.state.note_bytes(now)
+        self.state.record_data(now)
         self.status = status
         self.headers = headers
         marks = self._world.dialect.read_marks(status, headers)
@@ -135,10 +135,10 @@
         if self._is_over:
             return
         now = self._world.loop.now()
-        self.state.note_bytes(now)
+        self.state.record_data(now)
         if self.is_streamed and not self.has_begun:
-            speed = self._world.guard(self._admitted.service).speed
-            speed.note(self._tokens_ahead, now - self._began_at)
+            speed = self._world.guard(self._admitted.service).prefill_rate
+            speed.add_sample(self._tokens_ahead, now - self._began_at)
         self._has_read()
         self.has_begun = True
         if not self.is_streamed:
@@ -162,9 +162,9 @@
         self._finish()
         now = self._world.loop.now()
         if self.status >= STATUS_SERVER_ERROR:
-            self.state.note_failure(now)
+            self.state.record_failure(now)
         else:
-            self.state.note_success(now)
+            self.state.record_success(now)
         if self.is_streamed:
             self._owner.on_stream_whole(self)
         else:
@@ -174,7 +174,7 @@
         """The connection ended before the answer did."""
         now = self._world.loop.now()
         if not was_sent and now - self._began_at >= CONNECT_TIMEOUT_S:
-            self.state.unanswered_since = self._began_at
+            self.state.connecting_since = self._began_at
         if was_sent and not self.status and self.connection is not None:
             self._world.pool.note_broken(self.connection)
         self.was_cut_off = was_sent
@@ -191,22 +191,22 @@
         if self._is_over:
             return
         self.cancel()
-        self.state.note_failure(self._world.loop.now())
+        self.state.record_failure(self._world.loop.now())
         self._owner.on_failure(failure, self)
 
     def _has_read(self) -> None:
         """The prompt is read once the first token comes."""
         if not self._to_read:
             return
-        self.state.reading -= self._to_read
+        self.state.pending_prefill_tokens -= self._to_read
         self._to_read = 0.0
         self._world.note_reading(self.state)
 
     def _finish(self) -> None:
         self._is_over = True
         self._has_read()
-        self.state.held -= self._held
-        self.state.note_ended()
+        self.state.kv_cache_tokens -= self._held
+        self.state.record_finished()
 
     def _learn_limit(self, marks: AnswerMarks, now: float) -> None:
         """Record the rate limit that the answer advertises, or that it advertises none.
@@ -218,9 +218,9 @@
             return
         limits = self._world.runner_limits
         if marks.rate_limit is not None:
-            limits.note_advertised(self.state.runner.instance, marks.rate_limit, now)
+            limits.record_advertised(self.state.runner.instance, marks.rate_limit, now)
         elif marks.is_signed:
-            limits.note_absent(self.state.runner.instance, self._began_at, now)
+            limits.record_absent(self.state.runner.instance, self._began_at, now)
 
     def _learn_refusal(self) -> None:
         now = self._world.loop.now()
@@ -232,8 +232,8 @@
         wanted = None if model is None else self._world.weights.wanted.get(model)
         if instance != self.state.runner.name or model is None or wanted is None:
             # Another runner has the address now.
-            self.state.loading_until = now + LOADING_MEMORY_S
+            self.state.loading_until = now + LOADING_TIMEOUT_S
         elif wanted.version > (self.state.weights_version(model) or 0):
-            self.state.learn_weights(model, wanted.version)
+            self.state.record_weights(model, wanted.version)
         else:
             self.state.full_until = now + FULL_MEMORY_S
--- a/src/martenrun/router/denials.py
+++ b/src/martenrun/router/denials.py
@@ -4,7 +4,7 @@
 
 from martenrun.net.http import HttpAnswer
 from martenrun.net.server import Exchange
-from martenrun.router.admission import Admission, Refusal, refuse
+from martenrun.router.admission import Admission, Refusal, send_refusal
 from martenrun.router.knowledge import decoded
 from martenrun.router.knowledge_feed import KnowledgeFeed
 from martenrun.router.messages import Admitted, Call, Dataset
@@ -58,7 +58,7 @@
         if self._world.configuration.age_s(self._world.loop.now()) <= DENIAL_AGE_S:
             self._decide(exchange, call)
         elif self._has_failed_since_confirmed():
-            refuse(exchange, Refusal(503, "not_confirmed"), call)
+            send_refusal(exchange, Refusal(503, "not_confirmed"), call)
             self._read()
         else:
             self._waiting.append((exchange, call))
@@ -95,7 +95,7 @@
             if is_confirmed:
                 self._decide(exchange, call)
             else:
-                refuse(exchange, Refusal(503, "not_confirmed"), call)
+                send_refusal(exchange, Refusal(503, "not_confirmed"), call)
 
     def _is_confirmed(self, answer: HttpAnswer | None, asked_at: float) -> bool:
         """Take a read of the configuration in; return whether that is what is in force here."""
@@ -108,8 +108,8 @@
         return self._world.configuration.confirm(asked_at)
 
     def _decide(self, exchange: Exchange, call: Call) -> None:
-        decision = self._admission.decide(exchange, call)
+        decision = self._admission.admit(exchange, call)
         if isinstance(decision, Admitted):
             self._forward(exchange, decision)
         else:
-            refuse(exchange, decision, call)
+            send_refusal(exchange, decision, call)
--- a/src/martenrun/router/forwarding.py
+++ b/src/martenrun/router/forwarding.py
@@ -10,7 +10,7 @@
 from martenrun.router.messages import Admitted
 from martenrun.router.quotas.gate import Grant
 from martenrun.router.request_quota import RequestQuota
-from martenrun.router.retry import MAXIMUM_SENDS, Failure, NextStep, TryState, next_step
+from martenrun.router.retry import MAXIMUM_SENDS, AttemptState, Failure, NextStep, next_step
 from martenrun.router.runner_access import RunnerAccess
 from martenrun.router.runner_choice import RunnerChoice
 from martenrun.router.runner_request import runner_dispatch
@@ -97,7 +97,7 @@
             self._refuse(reason, grant.wait_s if grant.is_sure else 0.0, status)
 
     def _take_up(self) -> None:
-        self._choice.note_asked()
+        self._choice.record_demand()
         self._look_for_runner()
 
     def _look_for_runner(self) -> None:
@@ -107,7 +107,7 @@
             # The machine stood still: this look was due before the end of the deadline.
             self._on_timeout()
             return
-        held_s = self._choice.held_back_s()
+        held_s = self._choice.blocked_for_s()
         if held_s:
             # It has ended all runners that ran it: refused here it ends no more of them.
             fingerprint = self._choice.known_fingerprint() or b""
@@ -117,7 +117,7 @@
         state = self._choice.choose()
         if state is None:
             self._wait_or_refuse("no_runner")
-        elif not self._sent_to and not self._choice.may_wait_at(state):
+        elif not self._sent_to and not self._choice.can_start_soon(state):
             self._refuse_for_overload(state)
         elif self._sent_to and not self._is_within_budget():
             self._refuse("retry_budget")
@@ -153,28 +153,28 @@
         world = self._world
         now = world.loop.now()
         if self._sent_to:
-            world.budget(self._admitted.service).note_repeat(now)
+            world.budget(self._admitted.service).record_retry(now)
         else:
-            self._choice.note_taken()
-        self._choice.tried.append(state.runner.instance)
+            self._choice.record_admitted()
+        self._choice.tried_instances.append(state.runner.instance)
         self._sent_to.append(state.runner.instance)
         self._quota.note_sent()
         request = self._exchange.request
         placement = world.placement
-        question = self._choice.question()
+        question = self._choice.placement_query()
         last_event_id = self._stream.last_event_id
         dispatch = runner_dispatch(world, self._admitted, state, question, last_event_id)
         headers = world.dialect.runner_headers(request.headers, dispatch)
         data = request_bytes(request.method, request.target, headers, request.body)
         load = AttemptLoad(
-            tokens_to_read=placement.tokens_to_read(question, state),
+            tokens_to_read=placement.prefill_tokens(question, state),
             tokens_held=question.needed_tokens if question.parts else 0,
         )
         attempt = Attempt(world, self._admitted, self, state, load, self._access.has_grant(state))
-        self._access.note_sent(state)
+        self._access.record_sent(state)
         self._attempt = attempt
-        placement.note_read(question, state)
-        state.note_sent(now)
+        placement.record_prefill(question, state)
+        state.record_sent(now)
         self._trail.note_sent(state, self._admitted.call.model, len(self._sent_to))
         expected_id = (world.dialect.request_id_field, self._admitted.call.request_id)
         try:
@@ -254,11 +254,11 @@
         self._trail.note_failed(instance, attempt.status, failure, step, self._runs)
         if step is NextStep.SEND_AGAIN and state is not None:
             self._send_again(state, failure, attempt)
-        elif step is NextStep.PASS_ON:
+        elif step is NextStep.FORWARD_RESPONSE:
             self._pass_on(attempt)
         elif step is NextStep.REFUSE:
             self._wait_or_refuse(failure.value)
-        elif step is NextStep.BREAK_OFF:
+        elif step is NextStep.ABORT_RESPONSE:
             self._break_off(attempt)
         else:
             self._answer(502, "unknown", attempt)
@@ -276,24 +276,24 @@
 
         self._quota.obtain(go_on)
 
-    def _try_state(self, has_other_runner: bool, now: float) -> TryState:
+    def _try_state(self, has_other_runner: bool, now: float) -> AttemptState:
         admitted = self._admitted
-        return TryState(
+        return AttemptState(
             may_repeat=admitted.route.may_repeat,
             maximum_attempts=admitted.route.maximum_attempts,
             runs=self._runs,
             sends=len(self._sent_to),
-            has_answer_begun=self._exchange.has_started,
+            has_response_started=self._exchange.has_started,
             left_s=admitted.give_up_at - now,
             is_within_budget=self._is_within_budget() and not self._is_over_limit,
             has_other_runner=has_other_runner,
-            is_held_back=self._choice.held_back_s() > 0,
+            is_blocked=self._choice.blocked_for_s() > 0,
         )
 
     def _is_within_budget(self) -> bool:
         world = self._world
         budget = world.budget(self._admitted.service)
-        return budget.may_repeat(world.loop.now(), world.node_count())
+        return budget.may_retry(world.loop.now(), world.node_count())
 
     # Ends
 
@@ -309,7 +309,7 @@
             else:
                 self._refuse("runner_limits", self._choice.retry_delay_s(limited_s))
             return
-        self._choice.tried.clear()
+        self._choice.tried_instances.clear()
         self._world.loop.call_later(LOOK_AGAIN_S, self._look_for_runner)
 
     def _refuse(
--- a/src/martenrun/router/lease.py
+++ b/src/martenrun/router/lease.py
@@ -23,7 +23,7 @@
     StoredObject,
     VersionAges,
 )
-from martenrun.router.order_turns import OrderTurns
+from martenrun.router.order_schedule import OrderSchedule
 from martenrun.router.store_client import HttpCaller
 
 CALL_TIMEOUT_S = 0.7
@@ -32,62 +32,66 @@
 HOLDER_MARGIN_S = 0.4
 """Margin before the end of the lease at which its holder stops acting on it, in seconds."""
 
-TAKER_MARGIN_S = 0.15
+TAKEOVER_MARGIN_S = 0.15
 """Margin after the end of the lease before another router takes it over, in seconds."""
 
 RANK_DELAY_S = 0.25
 """Additional delay per rank before a router takes over a free lease, in seconds."""
 
-PAUSE_S = 0.15
+RETRY_PAUSE_S = 0.15
 """Pause before the next call after a failed one, in seconds."""
 
 
 @attrs.frozen
-class SeenLease:
+class ObservedLease:
     """A lease object as last observed.
 
     Attributes:
-        seen_at: monotonic time at which its revision was first seen, in seconds.
-        is_read: whether the record is from the store; a record from another router is incomplete.
+        first_seen_at: monotonic time at which its revision was first seen, in seconds.
+        is_from_store: whether the record was read from the store; other routers send a part of it.
     """
 
     stored: StoredObject
     record: LeaseRecord
-    seen_at: float
-    is_read: bool = True
+    first_seen_at: float
+    is_from_store: bool = True
 
 
-def free_at(seen: SeenLease, router: str, rank: int, lease_s: float) -> float:
+def takeover_at(observed: ObservedLease, router: str, rank: int, lease_s: float) -> float:
     """Return when a router may take the lease over; a higher rank means later."""
-    if seen.record.router == router:
+    if observed.record.router == router:
         # Held by an earlier incarnation of this router, which has exited.
-        return seen.seen_at
+        return observed.first_seen_at
     delay_s = rank * RANK_DELAY_S
-    if seen.record.released_idle_s is not None:
-        return seen.seen_at + delay_s
-    return seen.seen_at + lease_s + TAKER_MARGIN_S + delay_s
+    if observed.record.released_idle_s is not None:
+        return observed.first_seen_at + delay_s
+    return observed.first_seen_at + lease_s + TAKEOVER_MARGIN_S + delay_s
 
 
-def last_order_at(seen: SeenLease, lease_s: float) -> float:
+def latest_order_at(observed: ObservedLease, lease_s: float) -> float:
     """Return the latest time at which the holder of a lease may have given an order."""
-    if seen.record.released_idle_s is not None:
-        return seen.seen_at - seen.record.released_idle_s + TAKER_MARGIN_S
-    return seen.seen_at + lease_s - HOLDER_MARGIN_S
+    if observed.record.released_idle_s is not None:
+        return observed.first_seen_at - observed.record.released_idle_s + TAKEOVER_MARGIN_S
+    return observed.first_seen_at + lease_s - HOLDER_MARGIN_S
 
 
-def note_earlier_orders(turns: OrderTurns, seen: SeenLease, router: str, lease_s: float) -> None:
+def block_earlier_orders(
+    order_schedule: OrderSchedule, observed: ObservedLease, router: str, lease_s: float
+) -> None:
     """Block orders to runners that the previous holder of a lease may have ordered.
 
     All incarnations of one router count as the same holder.
     """
-    record = seen.record
-    ordered_until = last_order_at(seen, lease_s)
+    record = observed.record
+    ordered_until = latest_order_at(observed, lease_s)
     if record.router == router:
-        turns.resume(record.ordered_ms, seen.seen_at, ordered_until, record.pause_s)
+        order_schedule.resume(
+            record.ordered_ms, observed.first_seen_at, ordered_until, record.pause_s
+        )
     elif record.ordered_ms is None:
-        turns.block_all(ordered_until)
+        order_schedule.block_all(ordered_until)
     else:
-        turns.block(record.ordered_ms, seen.seen_at, ordered_until)
+        order_schedule.block(record.ordered_ms, observed.first_seen_at, ordered_until)
 
 
 class Lease:
@@ -102,7 +106,7 @@
 
     Attributes:
         fencing_token: token of orders while the lease is held.
-        turns: schedule of orders, with the time from which each reserved runner may be ordered.
+        order_schedule: times from which reserved runners may be ordered.
     """
 
     def __init__(
@@ -125,34 +129,34 @@
         self._holder = holder
         self._router = LeaseRecord(holder, 0).router
         self._lease_s = lease_s
-        self._seen: SeenLease | None = None
+        self._observed: ObservedLease | None = None
         self._held_until = 0.0
-        self._is_calling = False
+        self._is_call_pending = False
         self._not_before = 0.0
         self._renewals = 0
         self._last_order_at = -math.inf
-        self._on_reserved: list[tuple[Collection[str], Callable[[bool], None]]] = []
+        self._pending_reservations: list[tuple[Collection[str], Callable[[bool], None]]] = []
         self.fencing_token = 0
-        self.turns = OrderTurns(lease_s)
+        self.order_schedule = OrderSchedule(lease_s)
 
     @property
     def revision(self) -> int:
         """Revision last written by this router while it holds the lease, else 0."""
-        return 0 if self._seen is None or not self.is_held() else self._seen.stored.revision
+        return 0 if self._observed is None or not self.is_held() else self._observed.stored.revision
 
     def is_held(self) -> bool:
         """Return whether this router may act on the lease now."""
         return self._loop.now() < self._held_until - HOLDER_MARGIN_S
 
-    def last_router(self) -> str | None:
+    def last_holder_address(self) -> str | None:
         """Return the address of the last known holder, or None if there is none."""
-        return None if self._seen is None else self._seen.record.router
+        return None if self._observed is None else self._observed.record.router
 
     def may_order(self, instance: str) -> bool:
         """Return whether a runner may be ordered now."""
         now = self._loop.now()
-        is_turn = now >= self.turns.orders_from(instance)
-        return self.is_held() and is_turn and self.turns.is_confirmed(instance)
+        is_due = now >= self.order_schedule.earliest_order_at(instance)
+        return self.is_held() and is_due and self.order_schedule.is_confirmed(instance)
 
     def reserve(self, instances: Collection[str], on_done: Callable[[bool], None]) -> None:
         """Store in the lease object that this router is going to order runners.
@@ -160,49 +164,51 @@
         Args:
             on_done: called with whether the reservation has been stored.
         """
-        self.turns.reserve(instances)
-        self._on_reserved.append((instances, on_done))
-        if not self._is_calling and self.is_held():
+        self.order_schedule.reserve(instances)
+        self._pending_reservations.append((instances, on_done))
+        if not self._is_call_pending and self.is_held():
             self._write(self.fencing_token)
 
-    def note_order(self, instance: str) -> None:
+    def record_order(self, instance: str) -> None:
         """Record that an order to a runner is sent, or may have arrived as late as now."""
         self._last_order_at = self._loop.now()
-        self.turns.note_order(instance, self._last_order_at)
+        self.order_schedule.record_order(instance, self._last_order_at)
 
-    def note_revision(self, record: LeaseRecord, revision: int) -> None:
+    def record_revision(self, record: LeaseRecord, revision: int) -> None:
         """Record a revision of the lease object that another router reports to have written."""
-        if self.is_held() or (self._seen is not None and revision <= self._seen.stored.revision):
+        if self.is_held() or (
+            self._observed is not None and revision <= self._observed.stored.revision
+        ):
             return
         stored = StoredObject(self._name, revision, None)
-        self._seen = SeenLease(stored, record, self._loop.now(), is_read=False)
+        self._observed = ObservedLease(stored, record, self._loop.now(), is_from_store=False)
 
-    def pursue(self, rank: int) -> None:
+    def acquire_or_renew(self, rank: int) -> None:
         """Acquire the lease or renew it if that is due.
 
         A router with a higher ``rank`` acquires a free lease later.
         """
         now = self._loop.now()
-        seen = self._seen
-        if self._is_calling or now < self._not_before:
+        observed = self._observed
+        if self._is_call_pending or now < self._not_before:
             return
         if now < self._held_until:
-            if now > self._held_until - self._lease_s / 2 or self._on_reserved:
+            if now > self._held_until - self._lease_s / 2 or self._pending_reservations:
                 self._write(self.fencing_token)
-        elif seen is None:
+        elif observed is None:
             self._read()
-        elif seen.record.holder == self._holder:
+        elif observed.record.holder == self._holder:
             # No other router has acquired it since, so the token of this router is still valid.
-            self._write(seen.record.fencing_token)
-        elif now >= free_at(seen, self._router, rank, self._lease_s):
-            if not seen.is_read:
+            self._write(observed.record.fencing_token)
+        elif now >= takeover_at(observed, self._router, rank, self._lease_s):
+            if not observed.is_from_store:
                 self._read()
                 return
             # Block earlier orders now: the write may succeed even if its response is lost.
-            note_earlier_orders(self.turns, seen, self._router, self._lease_s)
-            self.turns.finish_all()
-            self._end_reservations(False)
-            self._write(max(seen.record.fencing_token, self.fencing_token) + 1)
+            block_earlier_orders(self.order_schedule, observed, self._router, self._lease_s)
+            self.order_schedule.cancel_all()
+            self._finish_reservations(False)
+            self._write(max(observed.record.fencing_token, self.fencing_token) + 1)
 
     def release(self, on_released: Callable[[LeaseRecord, int], None]) -> None:
         """Release the lease if it is held.
@@ -212,111 +218,113 @@
         Args:
             on_released: called with the record and revision that other routers need to acquire it.
         """
-        if not self.is_held() or self._is_calling:
+        if not self.is_held() or self._is_call_pending:
             return
         # Without an order of its own, the last order was that of a previous holder.
-        ordered_at = max(self._last_order_at, self.turns.latest_block() - self._lease_s)
+        ordered_at = max(self._last_order_at, self.order_schedule.unblocked_at() - self._lease_s)
         idle_s = min(self._lease_s, self._loop.now() - ordered_at)
-        self.turns.finish_all()
-        record = attrs.evolve(self._own_record(self.fencing_token), released_idle_s=idle_s)
+        self.order_schedule.cancel_all()
+        record = attrs.evolve(self._new_record(self.fencing_token), released_idle_s=idle_s)
         self._held_until = 0.0
         self._not_before = math.inf
 
-        def answered(answer: HttpAnswer | None) -> None:
-            if answer is not None and answer.status == 200:
+        def on_response(response: HttpAnswer | None) -> None:
+            if response is not None and response.status == 200:
                 log_event("lease_released", token=record.fencing_token)
-                stored = decoded(answer.body, self._dialect.read_stored)
+                stored = decoded(response.body, self._dialect.read_stored)
                 if stored is not None:
                     on_released(record, stored.revision)
 
-        self._call(self._write_call(record), answered)
+        self._call(self._write_call(record), on_response)
 
-    def _own_record(self, token: int) -> LeaseRecord:
+    def _new_record(self, token: int) -> LeaseRecord:
         self._renewals += 1
         now = self._loop.now()
         return LeaseRecord(
             self._holder,
             token,
             self._renewals,
-            pause_s=max(0.0, self.turns.latest_block() - now),
+            pause_s=max(0.0, self.order_schedule.unblocked_at() - now),
             ages_ms=self._ages_ms(),
-            ordered_ms=self.turns.ages_ms(now),
+            ordered_ms=self.order_schedule.order_ages_ms(now),
         )
 
     def _read(self) -> None:
         self._call(self._dialect.read_object(Dataset.LEASES, self._name), self._on_read)
 
     def _write(self, token: int) -> None:
-        record = self._own_record(token)
+        record = self._new_record(token)
         sent_at = self._loop.now()
         self._call(
-            self._write_call(record), lambda answer: self._on_written(answer, record, sent_at)
+            self._write_call(record), lambda response: self._on_written(response, record, sent_at)
         )
 
     def _write_call(self, record: LeaseRecord) -> HttpCall:
         spec = self._dialect.lease_spec(record)
-        if self._seen is None:
+        if self._observed is None:
             return self._dialect.create_object(Dataset.LEASES, self._name, spec)
-        return self._dialect.replace_object(Dataset.LEASES, self._seen.stored, spec)
+        return self._dialect.replace_object(Dataset.LEASES, self._observed.stored, spec)
 
-    def _call(self, call: HttpCall, on_answer: Callable[[HttpAnswer | None], None]) -> None:
-        self._is_calling = True
+    def _call(self, call: HttpCall, on_result: Callable[[HttpAnswer | None], None]) -> None:
+        self._is_call_pending = True
 
-        def answered(answer: HttpAnswer | None) -> None:
-            self._is_calling = False
-            on_answer(answer)
+        def on_response(response: HttpAnswer | None) -> None:
+            self._is_call_pending = False
+            on_result(response)
 
-        self._store.call(call, CALL_TIMEOUT_S, answered)
+        self._store.call(call, CALL_TIMEOUT_S, on_response)
 
-    def _on_read(self, answer: HttpAnswer | None) -> None:
-        if answer is not None and answer.status == 404:
+    def _on_read(self, response: HttpAnswer | None) -> None:
+        if response is not None and response.status == 404:
             self._write(self.fencing_token + 1)
-        elif answer is not None and answer.status == 200:
-            self._see(answer)
+        elif response is not None and response.status == 200:
+            self._observe(response)
         else:
-            self._not_before = self._loop.now() + PAUSE_S
+            self._not_before = self._loop.now() + RETRY_PAUSE_S
 
-    def _on_written(self, answer: HttpAnswer | None, record: LeaseRecord, sent_at: float) -> None:
-        if answer is not None and answer.status in (200, 201):
-            self._see(answer)
+    def _on_written(self, response: HttpAnswer | None, record: LeaseRecord, sent_at: float) -> None:
+        if response is not None and response.status in (200, 201):
+            self._observe(response)
             self._held_until = sent_at + self._lease_s
             if record.fencing_token != self.fencing_token:
                 pause_ms = round(record.pause_s * 1000)
                 log_event("lease_taken", token=record.fencing_token, pause_ms=pause_ms)
             self.fencing_token = record.fencing_token
-            self.turns.confirm(record.ordered_ms)
-            self._end_reservations(True)
+            self.order_schedule.confirm(record.ordered_ms)
+            self._finish_reservations(True)
             return
-        status = None if answer is None else answer.status
+        status = None if response is None else response.status
         log_trouble("lease_write_failed", status=status, token=record.fencing_token)
-        self._not_before = self._loop.now() + PAUSE_S
-        self._end_reservations(False)
+        self._not_before = self._loop.now() + RETRY_PAUSE_S
+        self._finish_reservations(False)
         # The content of the object is unknown now: read it again, and never reuse that token.
         self.fencing_token = max(self.fencing_token, record.fencing_token)
         if status not in (429, 503):
-            self._seen = None
-            if status == 409 and answer is not None:
-                self._see(answer)
-                if self._seen is None or self._seen.record.holder != self._holder:
+            self._observed = None
+            if status == 409 and response is not None:
+                self._observe(response)
+                if self._observed is None or self._observed.record.holder != self._holder:
                     self._held_until = 0.0
 
-    def _end_reservations(self, is_stored: bool) -> None:
+    def _finish_reservations(self, is_stored: bool) -> None:
         """Report the outcome of pending reservations to their callers."""
-        waiting, self._on_reserved = self._on_reserved, []
-        for instances, on_done in waiting:
-            if is_stored and any(self.turns.is_unconfirmed(instance) for instance in instances):
-                self._on_reserved.append((instances, on_done))
+        reservations, self._pending_reservations = self._pending_reservations, []
+        for instances, on_done in reservations:
+            if is_stored and any(
+                self.order_schedule.is_unconfirmed(instance) for instance in instances
+            ):
+                self._pending_reservations.append((instances, on_done))
             else:
                 on_done(is_stored)
 
-    def _see(self, answer: HttpAnswer) -> None:
-        stored = decoded(answer.body, self._dialect.read_stored)
+    def _observe(self, response: HttpAnswer) -> None:
+        stored = decoded(response.body, self._dialect.read_stored)
         if stored is None:
-            self._not_before = self._loop.now() + PAUSE_S
+            self._not_before = self._loop.now() + RETRY_PAUSE_S
             return
         seen_at = self._loop.now()
-        if self._seen is not None and stored.revision == self._seen.stored.revision:
-            seen_at = self._seen.seen_at
+        if self._observed is not None and stored.revision == self._observed.stored.revision:
+            seen_at = self._observed.first_seen_at
         record = decoded(stored, self._dialect.read_lease) or LeaseRecord("", self.fencing_token)
-        self._seen = SeenLease(stored, record, seen_at)
+        self._observed = ObservedLease(stored, record, seen_at)
         self._on_ages(record.ages_ms)
--- a/src/martenrun/router/limit_messages.py
+++ b/src/martenrun/router/limit_messages.py
@@ -22,7 +22,7 @@
     confirmed_ago_ms: int
 
 
-class LimitNews(msgspec.Struct, array_like=True, tag="limit"):
+class LimitUpdate(msgspec.Struct, array_like=True, tag="limit"):
     """Rate limits of one or more runner instances."""
 
     records: list[LimitRecord]
--- a/src/martenrun/router/messages.py
+++ b/src/martenrun/router/messages.py
@@ -113,7 +113,7 @@
     """One start of a runner, as the runner list tells it.
 
     Attributes:
-        instance: the key of this start, see :mod:`martenrun.router.runner_life`.
+        instance: the key of this start, see :mod:`martenrun.router.runner_instance`.
         name: its id on the platform, which later starts may have as well.
         born_ms: when it started by its own clock, in milliseconds, or None if it does not tell.
     """
--- a/src/martenrun/router/news.py
+++ b/src/martenrun/router/news.py
@@ -3,28 +3,28 @@
 from collections.abc import Sequence
 
 from martenrun.router.blame_messages import BlameNews
-from martenrun.router.limit_messages import LimitNews
+from martenrun.router.limit_messages import LimitUpdate
 from martenrun.router.peer_messages import LeaseNews, SilenceNews
 from martenrun.router.peers import News
-from martenrun.router.silence import take_silence
-from martenrun.router.weights_news import take_weights_news
-from martenrun.router.weights_roll import WeightsRoller
+from martenrun.router.unresponsive_runners import record_unresponsive
+from martenrun.router.weights_rollout import WeightsRollout
+from martenrun.router.weights_updates import apply_weights_update
 from martenrun.router.world import World
 
 
-def take_news(world: World, roller: WeightsRoller, news: News) -> None:
+def take_news(world: World, roller: WeightsRollout, news: News) -> None:
     """Dispatch news from another router to the component that handles it."""
     now = world.loop.now()
     if isinstance(news, LeaseNews):
-        roller.take_release(news)
+        roller.handle_lease_release(news)
     elif isinstance(news, SilenceNews):
-        take_silence(world, news, now)
+        record_unresponsive(world, news, now)
     elif isinstance(news, BlameNews):
         world.suspects.take(news)
-    elif isinstance(news, LimitNews):
-        world.runner_limits.take(news, now)
+    elif isinstance(news, LimitUpdate):
+        world.runner_limits.merge(news, now)
     else:
-        take_weights_news(world, news)
+        apply_weights_update(world, news)
 
 
 def newcomer_news(world: World, routers: int) -> Sequence[News]:
@@ -34,5 +34,5 @@
         routers: the number of known routers.
     """
     blame = world.suspects.newcomer_news(routers)
-    limits = world.runner_limits.newcomer_news(world.loop.now())
+    limits = world.runner_limits.new_router_update(world.loop.now())
     return [news for news in (blame, limits) if news is not None]
--- a/src/martenrun/router/order_turns.py
+++ b/src/martenrun/router/order_schedule.py
@@ -7,13 +7,13 @@
 
 from collections.abc import Collection, Iterator, Mapping
 
-RESERVED_MS = 0
+RESERVED_AGE_MS = 0
 """Age stored for a reserved runner, which the holder may order at any time during the lease."""
 
 MS_PER_S = 1000.0
 
 
-class OrderTurns:
+class OrderSchedule:
     """The orders to runners that one router knows of; all times are monotonic, in seconds.
 
     Args:
@@ -45,41 +45,41 @@
     def resume(
         self,
         ages_ms: Mapping[str, int] | None,
-        told_at: float,
+        seen_at: float,
         last_order_at: float,
         pause_s: float,
     ) -> None:
         """Continue after an earlier incarnation of this router, whose orders block no runner.
 
         Args:
-            ages_ms, told_at, last_order_at: as for :meth:`block`; no ages if they are unknown.
+            ages_ms, seen_at, last_order_at: as for :meth:`block`; no ages if they are unknown.
             pause_s: time for which orders of others blocked that incarnation, in seconds.
         """
-        self._paused_until = max(self._paused_until, told_at + pause_s)
+        self._paused_until = max(self._paused_until, seen_at + pause_s)
         if ages_ms is None:
             self._unknown_until = max(self._unknown_until, last_order_at + self._lease_s)
             return
-        for instance, ordered_at in _order_times(ages_ms, told_at, last_order_at):
+        for instance, ordered_at in _order_times(ages_ms, seen_at, last_order_at):
             self._ordered_at[instance] = max(ordered_at, self._ordered_at.get(instance, 0.0))
 
-    def block(self, ages_ms: Mapping[str, int], told_at: float, last_order_at: float) -> None:
+    def block(self, ages_ms: Mapping[str, int], seen_at: float, last_order_at: float) -> None:
         """Block the runners that an earlier holder has ordered or reserved.
 
         Args:
             ages_ms: for each runner the time since its last possible order, in milliseconds.
-            told_at: time at which the record was first seen.
+            seen_at: time at which the record was first seen.
             last_order_at: latest time at which that holder may have ordered a reserved runner.
         """
-        for instance, ordered_at in _order_times(ages_ms, told_at, last_order_at):
+        for instance, ordered_at in _order_times(ages_ms, seen_at, last_order_at):
             until = ordered_at + self._lease_s
             self._blocked_until[instance] = max(until, self._blocked_until.get(instance, 0.0))
 
-    def orders_from(self, instance: str) -> float:
+    def earliest_order_at(self, instance: str) -> float:
         """Return the time from which a holder of the lease may order a runner."""
         blocked_until = self._blocked_until.get(instance, 0.0)
         return max(self._all_blocked_until, self._paused_until, blocked_until)
 
-    def latest_block(self) -> float:
+    def unblocked_at(self) -> float:
         """Return the time from which no runner is blocked."""
         blocked_until = self._blocked_until.values()
         return max([self._all_blocked_until, self._paused_until, *blocked_until])
@@ -105,24 +105,24 @@
     def confirm(self, ages_ms: Mapping[str, int] | None) -> None:
         """Record that a record of this router with these ages has been stored."""
         ages_ms = ages_ms or {}
-        stored = {instance for instance, age_ms in ages_ms.items() if age_ms <= RESERVED_MS}
+        stored = {instance for instance, age_ms in ages_ms.items() if age_ms <= RESERVED_AGE_MS}
         self._confirmed = stored & self._reserved
 
-    def note_order(self, instance: str, now: float) -> None:
+    def record_order(self, instance: str, now: float) -> None:
         """Record that an order to a runner is sent, or may have arrived as late as now."""
         self._ordered_at[instance] = now
 
-    def finish(self, instance: str) -> None:
+    def cancel(self, instance: str) -> None:
         """Cancel the reservation of a runner to which no order is in transit."""
         self._reserved.discard(instance)
         self._confirmed.discard(instance)
 
-    def finish_all(self) -> None:
+    def cancel_all(self) -> None:
         """Cancel all reservations."""
         self._reserved.clear()
         self._confirmed.clear()
 
-    def ages_ms(self, now: float) -> dict[str, int] | None:
+    def order_ages_ms(self, now: float) -> dict[str, int] | None:
         """Return for each runner the time since its last possible order, by any holder.
 
         In milliseconds.  Runners last ordered longer ago than the length of the lease are left out.
@@ -137,11 +137,11 @@
         for instance, at in self._ordered_at.items():
             ordered_at[instance] = max(at, ordered_at.get(instance, at))
         ages = {
-            instance: max(RESERVED_MS + 1, int((now - at) * MS_PER_S))
+            instance: max(RESERVED_AGE_MS + 1, int((now - at) * MS_PER_S))
             for instance, at in ordered_at.items()
             if now - at < self._lease_s
         }
-        return ages | dict.fromkeys(self._reserved, RESERVED_MS)
+        return ages | dict.fromkeys(self._reserved, RESERVED_AGE_MS)
 
     def _forget_before(self, at: float) -> None:
         """Remove orders given before a time."""
@@ -154,9 +154,9 @@
 
 
 def _order_times(
-    ages_ms: Mapping[str, int], told_at: float, last_order_at: float
+    ages_ms: Mapping[str, int], seen_at: float, last_order_at: float
 ) -> Iterator[tuple[str, float]]:
     """Yield for each runner the latest time at which the holder may have ordered it."""
     for instance, age_ms in ages_ms.items():
-        is_reserved = age_ms <= RESERVED_MS
-        yield instance, last_order_at if is_reserved else told_at - age_ms / MS_PER_S
+        is_reserved = age_ms <= RESERVED_AGE_MS
+        yield instance, last_order_at if is_reserved else seen_at - age_ms / MS_PER_S
--- a/src/martenrun/router/overload.py
+++ b/src/martenrun/router/overload.py
@@ -12,9 +12,9 @@
 
 import attrs
 
-from martenrun.router.decisions import DEFAULTS, OverloadFigures
-from martenrun.router.reading_speed import ReadingSpeed
-from martenrun.router.retry_turns import RetryTurns
+from martenrun.router.prefill_rate import PrefillRate
+from martenrun.router.retry_schedule import RetrySchedule
+from martenrun.router.tuning import DEFAULTS, OverloadParameters
 
 URGENT_PRIORITY_S = 2.0
 """Time after an urgent request was refused in which rate-limited runners are reserved for urgent
@@ -22,24 +22,24 @@
 
 
 @attrs.define
-class TakenCount:
+class AdmissionCount:
     """Exponentially decayed counts of requested and admitted requests."""
 
-    asked: float = 0.0
-    taken: float = 0.0
-    counted_at: float = 0.0
+    requested: float = 0.0
+    admitted: float = 0.0
+    updated_at: float = 0.0
 
-    def fade(self, now: float, time_constant_s: float) -> None:
+    def decay(self, now: float, time_constant_s: float) -> None:
         """Decay the counts to the current time."""
-        kept = math.exp((self.counted_at - now) / time_constant_s)
-        self.asked *= kept
-        self.taken *= kept
-        self.counted_at = now
+        factor = math.exp((self.updated_at - now) / time_constant_s)
+        self.requested *= factor
+        self.admitted *= factor
+        self.updated_at = now
 
     @property
-    def share(self) -> float:
+    def admitted_share(self) -> float:
         """Share of the requests that were admitted."""
-        return self.taken / self.asked if self.asked else 1.0
+        return self.admitted / self.requested if self.requested else 1.0
 
 
 @attrs.frozen
@@ -50,52 +50,52 @@
         objective_s: latency objective of its route, in seconds.
         is_urgent: whether no route of the service is more urgent.
         groups: names of its route and its tenant, by which requests are counted.
-        tokens_ahead: pending prefill of the best runner, in tokens.
+        backlog_tokens: pending prefill of the best runner, in tokens.
     """
 
     objective_s: float
     is_urgent: bool
     groups: Collection[str]
-    tokens_ahead: float
+    backlog_tokens: float
 
 
 class OverloadGuard:
     """Load shedding of one service, based on its recent requests and prefill rate."""
 
-    def __init__(self, figures: OverloadFigures = DEFAULTS.overload) -> None:
-        self._figures = figures
-        self.speed = ReadingSpeed()
-        self._all = TakenCount()
-        self._groups: dict[str, TakenCount] = {}
+    def __init__(self, parameters: OverloadParameters = DEFAULTS.overload) -> None:
+        self._parameters = parameters
+        self.prefill_rate = PrefillRate()
+        self._total = AdmissionCount()
+        self._groups: dict[str, AdmissionCount] = {}
         self._urgent_refused_at = -math.inf
-        self.retry_turns = RetryTurns()
+        self.retry_schedule = RetrySchedule()
 
-    def note_asked(self, groups: Collection[str], now: float) -> None:
+    def record_demand(self, groups: Collection[str], now: float) -> None:
         """Count a request from a caller."""
         for count in self._counts(groups, now):
-            count.asked += 1
+            count.requested += 1
 
-    def note_taken(self, groups: Collection[str], now: float) -> None:
+    def record_admitted(self, groups: Collection[str], now: float) -> None:
         """Count a request that is sent to a runner."""
         for count in self._counts(groups, now):
-            count.taken += 1
+            count.admitted += 1
 
-    def wait_s(self, tokens_ahead: float) -> float:
+    def prefill_wait_s(self, backlog_tokens: float) -> float:
         """Return the prefill time of that many tokens, in seconds; 0 while the rate is unknown."""
-        return self.speed.seconds_for(tokens_ahead) or 0.0
+        return self.prefill_rate.seconds_for(backlog_tokens) or 0.0
 
-    def takes(self, prompt: WaitingPrompt, now: float) -> bool:
+    def admits(self, prompt: WaitingPrompt, now: float) -> bool:
         """Return whether a prompt may be sent to the best runner now."""
-        wait_s = self.wait_s(prompt.tokens_ahead)
-        figures = self._figures
-        share = figures.urgent_share if prompt.is_urgent else figures.others_share
+        wait_s = self.prefill_wait_s(prompt.backlog_tokens)
+        parameters = self._parameters
+        share = parameters.urgent_share if prompt.is_urgent else parameters.others_share
         if wait_s <= prompt.objective_s * share:
             return True
-        if wait_s > prompt.objective_s * figures.behind_wait_share:
+        if wait_s > prompt.objective_s * parameters.behind_wait_share:
             return False
-        return self.is_behind(prompt.groups, now)
+        return self.is_underserved(prompt.groups, now)
 
-    def note_urgent_refused(self, now: float) -> None:
+    def record_urgent_refused(self, now: float) -> None:
         """Record that a request of the most urgent routes was refused because of rate limits."""
         self._urgent_refused_at = now
 
@@ -103,18 +103,18 @@
         """Return whether an urgent request was refused recently because of rate limits."""
         return now - self._urgent_refused_at < URGENT_PRIORITY_S
 
-    def is_behind(self, groups: Collection[str], now: float) -> bool:
+    def is_underserved(self, groups: Collection[str], now: float) -> bool:
         """Return whether a group's admitted share is far below that of all requests."""
-        common = self._all.share
+        common = self._total.admitted_share
         return any(
-            count.asked >= self._figures.least_asked
-            and count.share < self._figures.behind_share * common
+            count.requested >= self._parameters.least_asked
+            and count.admitted_share < self._parameters.behind_share * common
             for count in self._counts(groups, now)
         )
 
-    def _counts(self, groups: Collection[str], now: float) -> list[TakenCount]:
-        counts = [self._all]
-        counts += [self._groups.setdefault(group, TakenCount()) for group in groups]
+    def _counts(self, groups: Collection[str], now: float) -> list[AdmissionCount]:
+        counts = [self._total]
+        counts += [self._groups.setdefault(group, AdmissionCount()) for group in groups]
         for count in counts:
-            count.fade(now, self._figures.fading_s)
+            count.decay(now, self._parameters.fading_s)
         return counts
--- a/src/martenrun/router/peer_messages.py
+++ b/src/martenrun/router/peer_messages.py
@@ -6,7 +6,7 @@
 
 from martenrun.identity.rendezvous import weight
 from martenrun.router.blame_messages import BlameNews
-from martenrun.router.limit_messages import LimitNews
+from martenrun.router.limit_messages import LimitUpdate
 from martenrun.router.quotas.messages import (
     QuotaAck,
     QuotaAnswer,
@@ -155,7 +155,7 @@
     | ReadingNews
     | ZoneLoads
     | BlameNews
-    | LimitNews
+    | LimitUpdate
     | QuotaAsk
     | QuotaAnswer
     | QuotaUse
--- a/src/martenrun/router/peers.py
+++ b/src/martenrun/router/peers.py
@@ -15,7 +15,7 @@
 
 from martenrun.net.loop import READ, Loop
 from martenrun.router.blame_messages import BlameNews
-from martenrun.router.limit_messages import LimitNews
+from martenrun.router.limit_messages import LimitUpdate
 from martenrun.router.log import log_trouble
 from martenrun.router.peer_messages import (
     Gossip,
@@ -71,7 +71,7 @@
 
 LONGEST_DATAGRAM = 60_000
 
-News = WeightsNews | LeaseNews | SilenceNews | BlameNews | LimitNews
+News = WeightsNews | LeaseNews | SilenceNews | BlameNews | LimitUpdate
 """What is told to all routers at once."""
 
 DATAGRAMS_PER_ROUND = 64
--- a/src/martenrun/router/placement.py
+++ b/src/martenrun/router/placement.py
@@ -11,220 +11,220 @@
 import attrs
 
 from martenrun.identity.rendezvous import weight
-from martenrun.router.decisions import DEFAULTS, PlacementFigures
 from martenrun.router.messages import PromptPart
+from martenrun.router.prefilled_parts import PrefilledParts
 from martenrun.router.runner_state import RunnerState
-from martenrun.router.seen_parts import SeenParts
+from martenrun.router.tuning import DEFAULTS, PlacementParameters
 
-REMEMBERED_ORDERS = 512
+MAXIMUM_RANKINGS = 512
 """Maximum number of cached rankings of runners; one for each prefix and set of runners."""
 
 
 @attrs.frozen
-class PlacementQuestion:
+class PlacementQuery:
     """The properties of a request that determine its placement.
 
     Attributes:
         parts: the parts of the prompt, the last one not shared; empty without a prompt.
         needed_tokens: KV cache memory that the request needs at a runner, in tokens.
         memory_tokens: KV cache memory of a runner of the service, in tokens; 0 if unknown.
-        wall: the tenant if it shares no cached parts with other tenants, else empty.
+        isolation_key: the tenant if it shares no cached parts with other tenants, else empty.
         model: the model, or None if the service has none.
-        wanted_version: target version of the model's weights, or None.
-        oldest_version: oldest version of the weights that may still start requests.
-        tried: instances to which the request has been sent.
+        target_version: target version of the model's weights, or None.
+        minimum_version: oldest version of the weights that may still start requests.
+        tried_instances: instances to which the request has been sent.
         zone: zone of this router.
         now: monotonic time, in seconds.
-        apart_by: fingerprint of a request suspected of crashing a runner, else None.
+        suspect_fingerprint: fingerprint of a request suspected of crashing a runner, else None.
     """
 
     parts: tuple[PromptPart, ...]
     needed_tokens: int
     memory_tokens: int
-    wall: bytes
+    isolation_key: bytes
     model: str | None
-    wanted_version: int | None
-    oldest_version: int
-    tried: Collection[str]
+    target_version: int | None
+    minimum_version: int
+    tried_instances: Collection[str]
     zone: str
     now: float
-    apart_by: bytes | None = None
+    suspect_fingerprint: bytes | None = None
 
 
 class Placement:
     """Chooses runners and caches their ranking by prefix."""
 
-    def __init__(self, figures: PlacementFigures = DEFAULTS.placement) -> None:
-        self._figures = figures
-        self._known_ranks: dict[tuple[bytes, tuple[str, ...]], dict[str, int]] = {}
-        self.seen = SeenParts()
+    def __init__(self, parameters: PlacementParameters = DEFAULTS.placement) -> None:
+        self._parameters = parameters
+        self._cached_ranks: dict[tuple[bytes, tuple[str, ...]], dict[str, int]] = {}
+        self.prefilled_parts = PrefilledParts()
 
-    def choose(
-        self, question: PlacementQuestion, states: Sequence[RunnerState]
-    ) -> RunnerState | None:
+    def choose(self, query: PlacementQuery, states: Sequence[RunnerState]) -> RunnerState | None:
         """Return the runner to send a request to, or None if no runner is usable."""
         usable = [
             state
             for state in states
             if not state.runner.is_draining
-            and not state.is_limited(question.now)
-            and state.runner.instance not in question.tried
+            and not state.is_limited(query.now)
+            and state.runner.instance not in query.tried_instances
         ]
-        usable = _with_allowed_weights(question, usable)
-        sound = _sound(question, usable)
-        if not sound:
-            return _least_bad(question, usable)
-        if question.apart_by is not None:
-            return _apart(question.apart_by, sound)
-        if question.parts:
-            return self._by_reading(question, sound)
-        return min(sound, key=lambda state: self._cost_without_prompt(question, state))
-
-    def limited_for_s(
-        self, question: PlacementQuestion, states: Sequence[RunnerState]
-    ) -> float | None:
+        usable = _with_usable_weights(query, usable)
+        healthy = _healthy(query, usable)
+        if not healthy:
+            return _least_failing(query, usable)
+        if query.suspect_fingerprint is not None:
+            return _assigned_by_fingerprint(query.suspect_fingerprint, healthy)
+        if query.parts:
+            return self._cheapest(query, healthy)
+        return min(healthy, key=lambda state: self._cost_without_prompt(query, state))
+
+    def limited_for_s(self, query: PlacementQuery, states: Sequence[RunnerState]) -> float | None:
         """Return the time until the first rate limit of a runner allows the request, in seconds.
 
         None if the request is not blocked by rate limits alone.
         """
-        sound = _with_allowed_weights(question, _sound(question, states))
-        now = question.now
-        if not sound or not all(state.is_limited(now) for state in sound):
+        healthy = _with_usable_weights(query, _healthy(query, states))
+        now = query.now
+        if not healthy or not all(state.is_limited(now) for state in healthy):
             return None
-        return max(0.0, min(state.limited_until for state in sound) - now)
+        return max(0.0, min(state.limited_until for state in healthy) - now)
 
-    def tokens_to_read(self, question: PlacementQuestion, state: RunnerState) -> float:
+    def prefill_tokens(self, query: PlacementQuery, state: RunnerState) -> float:
         """Return the estimated prefill of a request at a runner, in tokens."""
-        own_tokens = question.parts[-1].tokens if question.parts else 0
-        return own_tokens + self._shared_cost(question, state)
+        own_tokens = query.parts[-1].tokens if query.parts else 0
+        return own_tokens + self._shared_prefill_cost(query, state)
 
-    def _by_reading(self, question: PlacementQuestion, sound: list[RunnerState]) -> RunnerState:
-        instances = tuple(sorted(state.runner.instance for state in sound))
-        ranks = self._ranks(shared_prefix(question.parts) + question.wall, instances)
-        figures = self._figures
+    def _cheapest(self, query: PlacementQuery, healthy: list[RunnerState]) -> RunnerState:
+        instances = tuple(sorted(state.runner.instance for state in healthy))
+        ranks = self._ranks(shared_prefix_id(query.parts) + query.isolation_key, instances)
+        parameters = self._parameters
 
         def cost(state: RunnerState) -> tuple[float, int]:
             rank = ranks[state.runner.instance]
-            shared = 0.0 if rank == 0 else self._shared_cost(question, state)
-            distance = 0 if state.runner.zone == question.zone else figures.other_zone_tokens
+            shared = 0.0 if rank == 0 else self._shared_prefill_cost(query, state)
+            distance = 0 if state.runner.zone == query.zone else parameters.other_zone_tokens
             return (
                 state.backlog_tokens
                 + shared
                 + distance
-                + figures.request_tokens * state.load
-                + self._crowding_cost(question, state)
-                + (figures.old_weights_tokens if _is_old(question, state) else 0)
-                + figures.failure_tokens * state.remembered_failures(question.now),
+                + parameters.request_tokens * state.load
+                + self._memory_pressure_cost(query, state)
+                + (parameters.old_weights_tokens if _has_old_weights(query, state) else 0)
+                + parameters.failure_tokens * state.failure_score(query.now),
                 rank,
             )
 
-        return min(sound, key=cost)
+        return min(healthy, key=cost)
 
-    def _shared_cost(self, question: PlacementQuestion, state: RunnerState) -> float:
+    def _shared_prefill_cost(self, query: PlacementQuery, state: RunnerState) -> float:
         cost = 0.0
-        for part in question.parts[:-1]:
-            key = _part_key(question, state, part)
-            if self.seen.is_at(state.runner.instance, key, question.now):
+        for part in query.parts[:-1]:
+            key = _cache_key(query, state, part)
+            if self.prefilled_parts.is_cached_at(state.runner.instance, key, query.now):
                 continue
-            is_stored = self.seen.is_anywhere(key, question.now)
-            cost += part.tokens * (self._figures.fetched_share if is_stored else 1.0)
+            is_stored = self.prefilled_parts.is_cached_anywhere(key, query.now)
+            cost += part.tokens * (self._parameters.fetched_share if is_stored else 1.0)
         return cost
 
     def cache_source(
-        self, question: PlacementQuestion, state: RunnerState, states: Sequence[RunnerState]
+        self, query: PlacementQuery, state: RunnerState, states: Sequence[RunnerState]
     ) -> RunnerState | None:
         """Return another runner that most likely has a prompt's shared parts cached, or None.
 
         It is the runner known to have prefilled the last shared part most recently, otherwise the
         first by rendezvous hashing, to which all routers send that prefix while it has room.
         """
-        if len(question.parts) < 2:
+        if len(query.parts) < 2:
             return None
-        version = _version(question, state)
-        sound = _sound(question, states)
+        version = _weights_version(query, state)
+        healthy = _healthy(query, states)
         others = [
-            other for other in sound if other is not state and _version(question, other) == version
+            other
+            for other in healthy
+            if other is not state and _weights_version(query, other) == version
         ]
         if not others:
             return None
-        key = _part_key(question, state, question.parts[-2])
-        reader = self.seen.last_reader(key, question.now)
-        if reader == state.runner.instance:
+        key = _cache_key(query, state, query.parts[-2])
+        source = self.prefilled_parts.last_prefilled_by(key, query.now)
+        if source == state.runner.instance:
             return None
-        instances = tuple(sorted(item.runner.instance for item in sound))
-        ranks = self._ranks(shared_prefix(question.parts) + question.wall, instances)
+        instances = tuple(sorted(item.runner.instance for item in healthy))
+        ranks = self._ranks(shared_prefix_id(query.parts) + query.isolation_key, instances)
 
         def distance(other: RunnerState) -> tuple[bool, int]:
-            return other.runner.instance != reader, ranks[other.runner.instance]
+            return other.runner.instance != source, ranks[other.runner.instance]
 
         return min(others, key=distance)
 
-    def _crowding_cost(self, question: PlacementQuestion, state: RunnerState) -> float:
-        """Return what a runner costs whose memory does not hold one more request, in tokens."""
-        if not question.memory_tokens:
+    def _memory_pressure_cost(self, query: PlacementQuery, state: RunnerState) -> float:
+        """Return the cost of a runner without enough free memory for the request, in tokens."""
+        if not query.memory_tokens:
             return 0.0
-        usable = self._figures.usable_memory * question.memory_tokens
-        over = state.held_tokens + question.needed_tokens - usable
-        return max(0.0, over) * self._figures.crowding_factor
+        usable = self._parameters.usable_memory * query.memory_tokens
+        excess = state.total_kv_cache_tokens + query.needed_tokens - usable
+        return max(0.0, excess) * self._parameters.crowding_factor
 
     def _cost_without_prompt(
-        self, question: PlacementQuestion, state: RunnerState
+        self, query: PlacementQuery, state: RunnerState
     ) -> tuple[float, float]:
-        is_near = state.runner.zone == question.zone
-        distance = 0.0 if is_near else self._figures.other_zone_load
-        failures = state.remembered_failures(question.now)
+        is_same_zone = state.runner.zone == query.zone
+        distance = 0.0 if is_same_zone else self._parameters.other_zone_load
+        failures = state.failure_score(query.now)
         per_slot = (state.load + distance) / max(1, state.runner.slots)
-        return per_slot + 0.2 * failures, weight(question.zone.encode(), state.runner.instance)
+        return per_slot + 0.2 * failures, weight(query.zone.encode(), state.runner.instance)
 
-    def needs_saving(self, question: PlacementQuestion, state: RunnerState) -> bool:
+    def needs_cache_save(self, query: PlacementQuery, state: RunnerState) -> bool:
         """Return whether the KV cache store may lack the shared parts of a prompt.
 
         A runner that saves a prompt also saves the part that is not shared.  Saving every prompt
         would fill the store with parts that are never requested again, and its link with
         duplicates.
         """
-        if len(question.parts) < 2:
+        if len(query.parts) < 2:
             return False
-        last_shared = _part_key(question, state, question.parts[-2])
-        return not self.seen.is_saved(last_shared, question.now, self._figures.save_again_s)
+        last_shared = _cache_key(query, state, query.parts[-2])
+        return not self.prefilled_parts.was_saved_within(
+            last_shared, query.now, self._parameters.save_again_s
+        )
 
-    def note_read(self, question: PlacementQuestion, state: RunnerState) -> None:
+    def record_prefill(self, query: PlacementQuery, state: RunnerState) -> None:
         """Record that a runner has prefilled a prompt, and saved its parts if that was needed."""
-        if self.needs_saving(question, state):
-            last_shared = _part_key(question, state, question.parts[-2])
-            self.seen.note_saved(last_shared, question.now)
-        for part in question.parts[:-1]:
-            key = _part_key(question, state, part)
-            self.seen.note(state.runner.instance, key, question.now)
+        if self.needs_cache_save(query, state):
+            last_shared = _cache_key(query, state, query.parts[-2])
+            self.prefilled_parts.record_saved(last_shared, query.now)
+        for part in query.parts[:-1]:
+            key = _cache_key(query, state, part)
+            self.prefilled_parts.record_prefill(state.runner.instance, key, query.now)
 
     def _ranks(self, prefix: bytes, instances: tuple[str, ...]) -> dict[str, int]:
         """Return the rank of each instance in the rendezvous order of a prefix."""
         key = (prefix, instances)
-        ranks = self._known_ranks.get(key)
+        ranks = self._cached_ranks.get(key)
         if ranks is None:
             order = sorted(instances, key=lambda instance: weight(prefix, instance), reverse=True)
             ranks = {instance: rank for rank, instance in enumerate(order)}
-            if len(self._known_ranks) >= REMEMBERED_ORDERS:
-                self._known_ranks.clear()
-            self._known_ranks[key] = ranks
+            if len(self._cached_ranks) >= MAXIMUM_RANKINGS:
+                self._cached_ranks.clear()
+            self._cached_ranks[key] = ranks
         return ranks
 
 
-def shared_prefix(parts: tuple[PromptPart, ...]) -> bytes:
+def shared_prefix_id(parts: tuple[PromptPart, ...]) -> bytes:
     """Return the identity of the last shared part of a prompt."""
     return parts[-2].part_id if len(parts) > 1 else parts[-1].part_id
 
 
-def _sound(question: PlacementQuestion, states: Sequence[RunnerState]) -> list[RunnerState]:
+def _healthy(query: PlacementQuery, states: Sequence[RunnerState]) -> list[RunnerState]:
     """Return the runners that are neither draining nor to be avoided."""
     return [
         state
         for state in states
-        if not state.runner.is_draining and not state.is_avoided(question.now)
+        if not state.runner.is_draining and not state.is_avoided(query.now)
     ]
 
 
-def _apart(fingerprint: bytes, states: Sequence[RunnerState]) -> RunnerState:
+def _assigned_by_fingerprint(fingerprint: bytes, states: Sequence[RunnerState]) -> RunnerState:
     """Return the runner to which all routers send a request suspected of causing crashes.
 
     Suspected requests are spread over the runners by fingerprint.  Two of them rarely share a
@@ -234,36 +234,34 @@
     return max(states, key=lambda state: weight(fingerprint, state.runner.instance))
 
 
-def _with_allowed_weights(
-    question: PlacementQuestion, states: list[RunnerState]
-) -> list[RunnerState]:
+def _with_usable_weights(query: PlacementQuery, states: list[RunnerState]) -> list[RunnerState]:
     """Return the runners whose weights may still start requests."""
-    if question.model is None or not question.oldest_version:
+    if query.model is None or not query.minimum_version:
         return states
-    oldest = question.oldest_version
-    return [state for state in states if (_version(question, state) or oldest) >= oldest]
+    oldest = query.minimum_version
+    return [state for state in states if (_weights_version(query, state) or oldest) >= oldest]
 
 
-def _is_old(question: PlacementQuestion, state: RunnerState) -> bool:
+def _has_old_weights(query: PlacementQuery, state: RunnerState) -> bool:
     """Return whether a runner has older weights than the target version."""
-    version = _version(question, state)
-    wanted = question.wanted_version
-    return version is not None and wanted is not None and version < wanted
+    version = _weights_version(query, state)
+    target = query.target_version
+    return version is not None and target is not None and version < target
 
 
-def _part_key(question: PlacementQuestion, state: RunnerState, part: PromptPart) -> bytes:
+def _cache_key(query: PlacementQuery, state: RunnerState, part: PromptPart) -> bytes:
     """Return the cache key of a part, which includes the weights version and isolated tenant."""
-    return part.part_id + b"/%d/" % (_version(question, state) or 0) + question.wall
+    return part.part_id + b"/%d/" % (_weights_version(query, state) or 0) + query.isolation_key
 
 
-def _version(question: PlacementQuestion, state: RunnerState) -> int | None:
-    return None if question.model is None else state.weights_version(question.model)
+def _weights_version(query: PlacementQuery, state: RunnerState) -> int | None:
+    return None if query.model is None else state.weights_version(query.model)
 
 
-def _least_bad(question: PlacementQuestion, states: list[RunnerState]) -> RunnerState | None:
+def _least_failing(query: PlacementQuery, states: list[RunnerState]) -> RunnerState | None:
     """Return the runner with the fewest recent failures that is neither loading nor full."""
-    now = question.now
+    now = query.now
     usable = [state for state in states if now >= state.loading_until and now >= state.full_until]
     if not usable:
         return None
-    return min(usable, key=lambda state: (state.remembered_failures(now), state.load))
+    return min(usable, key=lambda state: (state.failure_score(now), state.load))
--- a/src/martenrun/router/process.py
+++ b/src/martenrun/router/process.py
@@ -6,11 +6,10 @@
 from martenrun.errors import SettingsError
 from martenrun.net.loop import Loop
 from martenrun.net.server import Exchange, Server
-from martenrun.router.admission import Admission, Refusal, refuse
+from martenrun.router.admission import Admission, Refusal, send_refusal
 from martenrun.router.blame_store import BlameStore
 from martenrun.router.contacts import ContactDirectory
 from martenrun.router.crash_watch import RunnerKnowledge
-from martenrun.router.decisions import DEFAULTS, Decisions, load_decisions
 from martenrun.router.denials import Denials
 from martenrun.router.dialect import Dialect, SettingsSource
 from martenrun.router.entry import Entry
@@ -25,7 +24,7 @@
 )
 from martenrun.router.knowledge_feed import KnowledgeFeed
 from martenrun.router.lease import Lease
-from martenrun.router.loads import LoadExchange
+from martenrun.router.load_exchange import LoadExchange
 from martenrun.router.log import EVENT_LOG, log_event, log_trouble
 from martenrun.router.messages import Admitted, Configuration, Dataset, LeaseRecord, Route
 from martenrun.router.metrics import Metrics
@@ -39,10 +38,11 @@
 from martenrun.router.runner_limits import RunnerLimits
 from martenrun.router.runner_pool import RunnerPool
 from martenrun.router.settings import RouterSettings
-from martenrun.router.silence import newly_silent, take_silence
 from martenrun.router.store_client import HttpCaller
 from martenrun.router.suspects import Suspects
-from martenrun.router.weights_roll import WeightsRoller
+from martenrun.router.tuning import DEFAULTS, TuningParameters, load_tuning_parameters
+from martenrun.router.unresponsive_runners import newly_unresponsive, record_unresponsive
+from martenrun.router.weights_rollout import WeightsRollout
 from martenrun.router.world import World
 
 CALLERS_SHARE = 0.6
@@ -59,7 +59,7 @@
     """All parts of one router."""
 
     def __init__(
-        self, source: SettingsSource, dialect: Dialect, decisions: Decisions = DEFAULTS
+        self, source: SettingsSource, dialect: Dialect, decisions: TuningParameters = DEFAULTS
     ) -> None:
         self._source = source
         self._stamp = source.stamp()
@@ -88,7 +88,7 @@
             node_count=lambda: self._peers.budget_count(),
             count=self._count,
             store_works=lambda _store: True,
-            note_reading=lambda state: self._loads.note_reading(state),
+            note_reading=lambda state: self._loads.report_pending_prefill(state),
             refresh_loads=lambda: self._loads.refresh(),
             runner_limits=RunnerLimits(
                 lambda news: self._peers.tell_all(news),
@@ -119,8 +119,8 @@
             self._refresh,
             lambda news: take_news(self._world, self._roller, news),
             self._on_records,
-            lambda instance: self._loads.take_reading(instance),
-            lambda sums: self._loads.take_sums(sums),
+            lambda instance: self._loads.mark_outdated(instance),
+            lambda sums: self._loads.merge_zone_loads(sums),
             lambda routers: newcomer_news(self._world, routers),
             lambda message: self._quotas.take(message),
         )
@@ -137,7 +137,7 @@
             lambda: self._world.weights.ages_ms(self._loop.now()),
             lambda ages_ms: self._world.weights.learn_ages(ages_ms, self._loop.now()),
         )
-        self._roller = WeightsRoller(self._world, self._peers, self._lease)
+        self._roller = WeightsRollout(self._world, self._peers, self._lease)
         self._feed = KnowledgeFeed(self._world, self._metrics, self._on_runners_settled)
         self._keeper = Keeper(
             KeeperParts(
@@ -183,7 +183,7 @@
             connections=lambda: self._front.connections,
         )
         self._world.configuration.on_changed.append(self._on_configuration)
-        self._world.weights.on_changed = self._roller.check
+        self._world.weights.on_changed = self._roller.schedule_step
 
     def _quota_gate(self, settings: RouterSettings) -> QuotaGate:
         """Return what asks the routers that keep tenants' accounts, and answers for its own."""
@@ -248,7 +248,7 @@
         self._world.pool.update(self._world.runners.runners)
         self._world.runner_limits.forget_unlisted(self._world.runners.runners, self._loop.now())
         self._world.suspects.watch.look_again()
-        self._roller.check()
+        self._roller.schedule_step()
 
     # Peers
 
@@ -271,41 +271,41 @@
             state.limited_until = 0.0
 
     def _on_records(self) -> None:
-        self._loads.take_records()
+        self._loads.update_from_records()
         for record, told_at in self._peers.table.told():
             self._world.configuration.hear(record.configurations, told_at)
         for record in self._peers.live():
             self._world.weights.learn_ages(record.weights, self._loop.now())
             if record.lease_revision:
                 holder = f"{record.address}#{record.incarnation}"
-                self._lease.note_revision(
+                self._lease.record_revision(
                     LeaseRecord(holder, record.lease_token), record.lease_revision
                 )
 
     def _tell_sums(self) -> None:
-        self._loop.call_later(self._loads.tell_sums(), self._tell_sums)
+        self._loop.call_later(self._loads.send_zone_loads(), self._tell_sums)
 
     # Requests
 
     def _serve(self, exchange: Exchange) -> None:
-        call = self._admission.read(exchange)
+        call = self._admission.read_call(exchange)
         if isinstance(call, Refusal):
-            refuse(exchange, call, None)
+            send_refusal(exchange, call, None)
             return
-        decision = self._admission.decide(exchange, call)
+        decision = self._admission.admit(exchange, call)
         if isinstance(decision, Admitted):
             self._forward(exchange, decision)
         elif decision.status in (401, 404):
             self._denials.look_again(exchange, call)
         else:
-            refuse(exchange, decision, call)
+            send_refusal(exchange, decision, call)
 
     def _forward(self, exchange: Exchange, admitted: Admitted) -> None:
         received_at = exchange.request.received_at
         if self._stop is not None and not self._stop.may_take(admitted, received_at):
-            refuse(exchange, Refusal(503, "stopping"), admitted.call)
+            send_refusal(exchange, Refusal(503, "stopping"), admitted.call)
             return
-        self._world.budget(admitted.service).note_request(self._loop.now())
+        self._world.budget(admitted.service).record_request(self._loop.now())
         forwarding = Forwarding(self._world, exchange, admitted, self._forwardings.discard)
         self._forwardings.add(forwarding)
         forwarding.start()
@@ -345,7 +345,7 @@
         self._stop = PlannedStop(self._loop.now(), self._world.settings.bounds.grace_s)
         log_event("stopping", requests=len(self._forwardings))
         self._front.is_draining = True
-        self._roller.end_by(self._stop.lingers_until)
+        self._roller.stop_by(self._stop.lingers_until)
         self._peers.tell_now()
 
     def _keep_house(self) -> None:
@@ -353,16 +353,16 @@
         for forwarding in list(self._forwardings):
             forwarding.leave_old_weights(now)
             forwarding.leave_ended_runner()
-        self._loads.tell_again()
-        for instance in newly_silent(self._world, now):
+        self._loads.repeat_reports()
+        for instance in newly_unresponsive(self._world, now):
             news = SilenceNews(self._peers.own.address, instance)
-            take_silence(self._world, news, now)
+            record_unresponsive(self._world, news, now)
             self._peers.tell_all(news)
         self._world.suspects.keep_house()
-        self._world.runner_limits.tell_again(now)
+        self._world.runner_limits.repeat_broadcasts(now)
         self._blame_store.check()
         self._quotas.keep_house()
-        self._roller.check()
+        self._roller.schedule_step()
         if self._source.stamp() != self._stamp:
             self._reload()
         EVENT_LOG.flush()
@@ -387,7 +387,7 @@
     """Run a router until it is stopped; raises SettingsError if it cannot begin.
 
     Args:
-        decisions: a file of figures that override those of :mod:`martenrun.router.decisions`; it
+        decisions: a file of figures that override those of :mod:`martenrun.router.tuning`; it
             may be missing.
     """
-    RouterProcess(source, dialect, load_decisions(decisions)).run()
+    RouterProcess(source, dialect, load_tuning_parameters(decisions)).run()
--- a/src/martenrun/router/retry.py
+++ b/src/martenrun/router/retry.py
@@ -11,7 +11,7 @@
 MAXIMUM_SENDS = 4
 """Maximum number of sends of a request, including those that were not executed."""
 
-LEAST_LEFT_S = 0.05
+MINIMUM_LEFT_S = 0.05
 """Minimum time left before the deadline for another send, in seconds."""
 
 
@@ -29,13 +29,13 @@
 
     SEND_AGAIN = "send again"
     REFUSE = "refuse"
-    PASS_ON = "pass on"
-    ANSWER_UNKNOWN = "answer unknown"
-    BREAK_OFF = "break off"
+    FORWARD_RESPONSE = "pass on"
+    OUTCOME_UNKNOWN = "answer unknown"
+    ABORT_RESPONSE = "break off"
 
 
 @attrs.frozen
-class TryState:
+class AttemptState:
     """The state of a request when an attempt has failed.
 
     Attributes:
@@ -43,39 +43,39 @@
         maximum_attempts: maximum number of runners that may execute it.
         runs: number of runners that may have executed it, including this attempt.
         sends: number of times it was sent, including this attempt.
-        has_answer_begun: whether the caller has received a part of the response.
+        has_response_started: whether the caller has received a part of the response.
         left_s: time left before the deadline or the timeout of the route, in seconds.
         is_within_budget: whether the retry budget allows another send to the service.
         has_other_runner: whether there is another runner to send it to.
-        is_held_back: whether it is blocked because it crashed too many runners.
+        is_blocked: whether it is blocked because it crashed too many runners.
     """
 
     may_repeat: bool
     maximum_attempts: int
     runs: int
     sends: int
-    has_answer_begun: bool
+    has_response_started: bool
     left_s: float
     is_within_budget: bool
     has_other_runner: bool
-    is_held_back: bool = False
+    is_blocked: bool = False
 
 
-def next_step(failure: Failure, state: TryState) -> NextStep:
+def next_step(failure: Failure, state: AttemptState) -> NextStep:
     """Return the action to take after a failed attempt."""
     if _may_send_again(failure, state):
         return NextStep.SEND_AGAIN
-    if state.has_answer_begun:
-        return NextStep.BREAK_OFF
+    if state.has_response_started:
+        return NextStep.ABORT_RESPONSE
     if failure is Failure.RUN_FAILED:
-        return NextStep.PASS_ON
+        return NextStep.FORWARD_RESPONSE
     if state.runs == 0:
         return NextStep.REFUSE
-    return NextStep.ANSWER_UNKNOWN
+    return NextStep.OUTCOME_UNKNOWN
 
 
-def _may_send_again(failure: Failure, state: TryState) -> bool:
-    if state.left_s < LEAST_LEFT_S or not state.has_other_runner or state.is_held_back:
+def _may_send_again(failure: Failure, state: AttemptState) -> bool:
+    if state.left_s < MINIMUM_LEFT_S or not state.has_other_runner or state.is_blocked:
         return False
     if state.sends >= MAXIMUM_SENDS:
         return False
--- a/src/martenrun/router/retry_budget.py
+++ b/src/martenrun/router/retry_budget.py
@@ -13,7 +13,7 @@
 STEP_S = 0.25
 """Length of the intervals in which requests and retries are counted, in seconds."""
 
-SAFETY = 0.7
+USED_SHARE = 0.7
 """Share of the allowance that is used, as other routers may know of too few routers."""
 
 
@@ -21,29 +21,29 @@
     """Counts the requests and retries of one service over a sliding window.
 
     Args:
-        spends_from: monotonic time from which the slack may be used.  It is one window after a
+        slack_from: monotonic time from which the slack may be used.  It is one window after a
             restart, when the retries of the previous process have left the window.
     """
 
-    def __init__(self, bounds: Bounds, spends_from: float) -> None:
+    def __init__(self, bounds: Bounds, slack_from: float) -> None:
         self.bounds = bounds
-        self._spends_from = spends_from
+        self._slack_from = slack_from
         self._steps: collections.deque[list[float]] = collections.deque()
 
-    def note_request(self, now: float) -> None:
+    def record_request(self, now: float) -> None:
         """Count a request from a caller."""
         self._step(now)[1] += 1
 
-    def may_repeat(self, now: float, nodes: int) -> bool:
+    def may_retry(self, now: float, routers: int) -> bool:
         """Return whether another retry is within this router's share."""
         self._step(now)
         requests = sum(step[1] for step in self._steps)
-        repeats = sum(step[2] for step in self._steps)
-        may_spend = now >= self._spends_from
-        slack = self.bounds.budget_slack / max(1, nodes) if may_spend else 0.0
-        return repeats + 1 <= SAFETY * (self.bounds.budget_ratio * requests + slack)
+        retries = sum(step[2] for step in self._steps)
+        may_spend = now >= self._slack_from
+        slack = self.bounds.budget_slack / max(1, routers) if may_spend else 0.0
+        return retries + 1 <= USED_SHARE * (self.bounds.budget_ratio * requests + slack)
 
-    def note_repeat(self, now: float) -> None:
+    def record_retry(self, now: float) -> None:
         """Count a retry."""
         self._step(now)[2] += 1
 
--- a/src/martenrun/router/runner_access.py
+++ b/src/martenrun/router/runner_access.py
@@ -44,41 +44,41 @@
         gate = self._world.quotas
         limit = self._world.runner_limits.limit(state.runner.instance)
         assert gate is not None and limit is not None
-        self._give_back()
-        asked_at = self._world.loop.now()
+        self._return_grant()
+        requested_at = self._world.loop.now()
         state.is_grant_pending = True
 
         def decided(grant: Grant) -> None:
             self._pending = None
             state.is_grant_pending = False
-            self._apply_decision(state, grant, asked_at)
+            self._apply_decision(state, grant, requested_at)
             on_decided(grant)
 
         account = runner_account(state.runner.instance)
-        asked = gate.ask(account, limit.rate_limit, 1, decided, limit.version)
-        if not asked.is_decided:
-            self._pending = state, asked
+        grant_request = gate.ask(account, limit.rate_limit, 1, decided, limit.version)
+        if not grant_request.is_decided:
+            self._pending = state, grant_request
 
-    def note_sent(self, state: RunnerState) -> None:
+    def record_sent(self, state: RunnerState) -> None:
         """Consume the grant for the runner that the request is sent to; give back any other."""
         if self.has_grant(state):
             self._granted = None
-        self._give_back()
+        self._return_grant()
 
     def close(self) -> None:
         """Give back a pending or unused grant when the request ends."""
         if self._pending is not None:
-            state, asked = self._pending
+            state, grant_request = self._pending
             self._pending = None
             state.is_grant_pending = False
             if self._world.quotas is not None:
-                self._world.quotas.give_back(asked)
-        self._give_back()
+                self._world.quotas.give_back(grant_request)
+        self._return_grant()
 
-    def _apply_decision(self, state: RunnerState, grant: Grant, asked_at: float) -> None:
+    def _apply_decision(self, state: RunnerState, grant: Grant, requested_at: float) -> None:
         now = self._world.loop.now()
         limits = self._world.runner_limits
-        if grant.is_granted and now - asked_at <= GRANT_VALID_S:
+        if grant.is_granted and now - requested_at <= GRANT_VALID_S:
             limits.count("granted")
             self._granted = state, grant
         elif grant.is_alone and limits.allow_probe(state.runner.instance, now):
@@ -89,7 +89,7 @@
             if grant.is_granted and self._world.quotas is not None:
                 self._world.quotas.give_back(grant)
 
-    def _give_back(self) -> None:
+    def _return_grant(self) -> None:
         if self._granted is None:
             return
         _, grant = self._granted
--- a/src/martenrun/router/runner_choice.py
+++ b/src/martenrun/router/runner_choice.py
@@ -4,13 +4,13 @@
 
 from martenrun.net.http import HttpRequest
 from martenrun.router.messages import Admitted
-from martenrun.router.placement import PlacementQuestion
+from martenrun.router.placement import PlacementQuery
 from martenrun.router.runner_limits import MINIMUM_REQUESTS_PER_S, RunnerLimit
 from martenrun.router.runner_request import placement_question, request_groups, waiting_prompt
 from martenrun.router.runner_state import RunnerState
 from martenrun.router.world import World
 
-MINIMUM_YIELD_S = 1.0
+MINIMUM_YIELD_DELAY_S = 1.0
 """Minimum retry delay of a request refused in favour of more urgent ones, in seconds."""
 
 
@@ -18,7 +18,7 @@
     """Chooses runners for one request.
 
     Attributes:
-        tried: instances to which the request was sent, which are not chosen again.
+        tried_instances: instances to which the request was sent, which are not chosen again.
     """
 
     def __init__(self, world: World, request: HttpRequest, admitted: Admitted) -> None:
@@ -28,22 +28,24 @@
         self._guard = world.guard(admitted.service)
         self._groups = request_groups(admitted)
         self._fingerprint: bytes | None = None
-        self.tried: list[str] = []
+        self.tried_instances: list[str] = []
 
     def choose(self) -> RunnerState | None:
         """Return the best runner that has not been tried, or None."""
         states = self._world.runner_states(self._admitted.service)
-        question = self.question()
+        query = self.placement_query()
         if self._yields_to_urgent():
-            limited = [state.runner.instance for state, _ in self._limited()]
-            question = attrs.evolve(question, tried=[*question.tried, *limited])
-        return self._world.placement.choose(question, states)
+            limited = [state.runner.instance for state, _ in self._limited_runners()]
+            query = attrs.evolve(query, tried_instances=[*query.tried_instances, *limited])
+        return self._world.placement.choose(query, states)
 
-    def question(self) -> PlacementQuestion:
+    def placement_query(self) -> PlacementQuery:
         """Return the query for the placement."""
-        run = self.known_fingerprint()
-        apart_by = run if self._world.suspects.is_suspect(run) else None
-        return placement_question(self._world, self._admitted, self.tried, apart_by)
+        fingerprint = self.known_fingerprint()
+        suspect_fingerprint = fingerprint if self._world.suspects.is_suspect(fingerprint) else None
+        return placement_question(
+            self._world, self._admitted, self.tried_instances, suspect_fingerprint
+        )
 
     def known_fingerprint(self) -> bytes | None:
         """Return the request's fingerprint if there are crash records to compare it with."""
@@ -52,7 +54,7 @@
             self._fingerprint = suspects.fingerprint(self._request, self._admitted)
         return self._fingerprint
 
-    def held_back_s(self) -> float:
+    def blocked_for_s(self) -> float:
         """Return for how long requests like this one are blocked, in seconds; 0 if they are not."""
         return self._world.suspects.held_for_s(self.known_fingerprint())
 
@@ -61,21 +63,21 @@
     def limited_for_s(self) -> float | None:
         """Return for how long rate limits block the request at all runners; None if they do not."""
         states = self._world.runner_states(self._admitted.service)
-        limited_s = self._world.placement.limited_for_s(self.question(), states)
-        if self._yields_to_urgent() and len(self._limited()) == len(states):
-            return max(limited_s or 0.0, MINIMUM_YIELD_S)
+        limited_s = self._world.placement.limited_for_s(self.placement_query(), states)
+        if self._yields_to_urgent() and len(self._limited_runners()) == len(states):
+            return max(limited_s or 0.0, MINIMUM_YIELD_DELAY_S)
         return limited_s
 
     def retry_delay_s(self, limited_s: float) -> float:
         """Return the retry delay for a caller refused because of rate limits, in seconds."""
         now = self._world.loop.now()
         if self._is_urgent():
-            self._guard.note_urgent_refused(now)
-        per_s = sum(limit.rate_limit.units_per_s for _, limit in self._limited())
+            self._guard.record_urgent_refused(now)
+        per_s = sum(limit.rate_limit.units_per_s for _, limit in self._limited_runners())
         per_router = max(MINIMUM_REQUESTS_PER_S, per_s) / max(1, self._world.node_count())
-        return self._guard.retry_turns.next_delay_s(limited_s, per_router, now)
+        return self._guard.retry_schedule.next_delay_s(limited_s, per_router, now)
 
-    def _limited(self) -> list[tuple[RunnerState, RunnerLimit]]:
+    def _limited_runners(self) -> list[tuple[RunnerState, RunnerLimit]]:
         limits = self._world.runner_limits
         found = [
             (state, limits.limit(state.runner.instance))
@@ -91,7 +93,7 @@
         now = self._world.loop.now()
         if not self._guard.has_refused_urgent(now) or self._is_urgent():
             return False
-        return not self._guard.is_behind(self._groups, now)
+        return not self._guard.is_underserved(self._groups, now)
 
     def _is_urgent(self) -> bool:
         table = self._world.configuration.table
@@ -100,21 +102,21 @@
 
     # Overload
 
-    def note_asked(self) -> None:
+    def record_demand(self) -> None:
         """Count the request as demand."""
-        self._guard.note_asked(self._groups, self._world.loop.now())
+        self._guard.record_demand(self._groups, self._world.loop.now())
 
-    def note_taken(self) -> None:
+    def record_admitted(self) -> None:
         """Count the request as admitted when it is sent to its first runner."""
-        self._guard.note_taken(self._groups, self._world.loop.now())
+        self._guard.record_admitted(self._groups, self._world.loop.now())
 
-    def may_wait_at(self, state: RunnerState) -> bool:
+    def can_start_soon(self, state: RunnerState) -> bool:
         """Return whether a runner can start on the request soon enough."""
         if not self._admitted.call.parts:
             return True
         prompt = waiting_prompt(self._world, self._admitted, state)
-        return self._guard.takes(prompt, self._world.loop.now())
+        return self._guard.admits(prompt, self._world.loop.now())
 
     def wait_s(self, state: RunnerState) -> float:
         """Return the expected wait of the request at a runner, in seconds."""
-        return self._guard.wait_s(state.backlog_tokens)
+        return self._guard.prefill_wait_s(state.backlog_tokens)
--- a/src/martenrun/router/runner_life.py
+++ b/src/martenrun/router/runner_instance.py
@@ -9,11 +9,11 @@
 because the runner's clock may have been set back between two starts.
 """
 
-DIGITS = 5
+START_TIME_DIGITS = 5
 """Hexadecimal digits of the start time in a key; successive starts collide once in a million."""
 
 
-def life_key(name: str, born_ms: int | None) -> str:
+def instance_key(name: str, born_ms: int | None) -> str:
     """Return the key of a runner instance.
 
     Args:
@@ -22,4 +22,4 @@
     """
     if born_ms is None:
         return name
-    return f"{name}~{born_ms % 16**DIGITS:0{DIGITS}x}"
+    return f"{name}~{born_ms % 16**START_TIME_DIGITS:0{START_TIME_DIGITS}x}"
--- a/src/martenrun/router/runner_limits.py
+++ b/src/martenrun/router/runner_limits.py
@@ -10,7 +10,7 @@
 
 import attrs
 
-from martenrun.router.limit_messages import LimitNews, LimitRecord
+from martenrun.router.limit_messages import LimitRecord, LimitUpdate
 from martenrun.router.log import log_event, log_trouble
 from martenrun.router.messages import AdvertisedLimit
 from martenrun.router.quotas.limit import RateLimit
@@ -38,10 +38,10 @@
 RECOVERY_STEP_S = 0.5
 """Minimum time between two recovery steps, in seconds."""
 
-TOLD_AGAIN_S = 1.0
+BROADCAST_INTERVAL_S = 1.0
 """Minimum interval at which a confirmed limit is broadcast again, in seconds."""
 
-CHANGE_TOLD_AGAIN_S = 0.5
+CHANGE_BROADCAST_INTERVAL_S = 0.5
 """Interval at which a change is broadcast again, in seconds."""
 
 CHANGE_REPEATS = 3
@@ -69,7 +69,7 @@
         confirmed_at: monotonic time of the latest response that confirms it, in seconds.
         recovery_steps: number of increases since the runner stopped advertising a limit.
         observed_at: monotonic time of the latest confirming response to this router, in seconds.
-        told_at: monotonic time of the last broadcast, in seconds.
+        broadcast_at: monotonic time of the last broadcast, in seconds.
         repeats_left: number of broadcasts left to repeat a change.
         probed_at: monotonic time of the last request sent without a grant, in seconds.
         probe_after_s: time without a response after which a probe may be sent, in seconds.
@@ -81,7 +81,7 @@
     confirmed_at: float
     recovery_steps: int = 0
     observed_at: float = 0.0
-    told_at: float = 0.0
+    broadcast_at: float = 0.0
     repeats_left: int = 0
     probed_at: float = 0.0
     probe_after_s: float = 0.0
@@ -113,19 +113,19 @@
     """Rate limits by runner instance.
 
     Args:
-        tell: broadcasts an update to all routers.
+        broadcast: broadcasts an update to all routers.
         on_changed: called with the instance whose limit has changed.
         count: counts an event, by outcome.
     """
 
     def __init__(
         self,
-        tell: Callable[[LimitNews], None] = lambda _news: None,
+        broadcast: Callable[[LimitUpdate], None] = lambda _update: None,
         on_changed: Callable[[str], None] = lambda _instance: None,
         count: Callable[[str], None] = lambda _outcome: None,
         rng: random.Random | None = None,
     ) -> None:
-        self._tell = tell
+        self._broadcast = broadcast
         self._on_changed = on_changed
         self.count = count
         self._rng = rng or random.Random()
@@ -141,7 +141,7 @@
 
     # Responses of runners
 
-    def note_advertised(self, instance: str, advertised: AdvertisedLimit, now: float) -> None:
+    def record_advertised(self, instance: str, advertised: AdvertisedLimit, now: float) -> None:
         """Record the limit that a response advertises; an invalid one changes nothing."""
         rate = advertised.requests_per_s
         if rate is None:
@@ -155,7 +155,7 @@
         version = 1 if known is None else known.version + 1
         self._change(instance, RunnerLimit(version, rate, now, now), "named", now)
 
-    def note_absent(self, instance: str, sent_at: float, now: float) -> None:
+    def record_absent(self, instance: str, sent_at: float, now: float) -> None:
         """Record that a response advertises no limit, which may start the next recovery step.
 
         Args:
@@ -173,24 +173,24 @@
         self._change(instance, raised, "ended" if raised.is_over else "raised", now)
 
     def _change(self, instance: str, limit: RunnerLimit, outcome: str, now: float) -> None:
-        limit.observed_at = limit.told_at = now
+        limit.observed_at = limit.broadcast_at = now
         limit.repeats_left = CHANGE_REPEATS
         self._put(instance, limit, outcome, "answer", now)
-        self._tell(LimitNews([limit.record(instance, now)]))
+        self._broadcast(LimitUpdate([limit.record(instance, now)]))
 
     # Other routers
 
-    def take(self, news: LimitNews, now: float) -> None:
+    def merge(self, update: LimitUpdate, now: float) -> None:
         """Merge an update from another router."""
-        for record in news.records:
-            self._merge(record, now)
+        for record in update.records:
+            self._merge_record(record, now)
 
-    def _merge(self, record: LimitRecord, now: float) -> None:
+    def _merge_record(self, record: LimitRecord, now: float) -> None:
         known = self._limits.get(record.instance)
         confirmed_at = now - record.confirmed_ago_ms / 1000
         if known is not None and _precedence(known) == _precedence(record):
             known.confirmed_at = max(known.confirmed_at, confirmed_at)
-            known.told_at = now
+            known.broadcast_at = now
         elif known is None or _precedence(known) < _precedence(record):
             received = RunnerLimit(
                 record.version,
@@ -198,32 +198,32 @@
                 now - record.changed_ago_ms / 1000,
                 confirmed_at,
                 record.recovery_steps,
-                told_at=now,
+                broadcast_at=now,
             )
             if known is not None or not received.is_over:
                 self._put(record.instance, received, "heard", "router", now)
 
-    def newcomer_news(self, now: float) -> LimitNews | None:
+    def new_router_update(self, now: float) -> LimitUpdate | None:
         """Return an update for a new router, or None if there are no limits."""
         if not len(self):
             return None
         active = [item for item in self._limits.items() if not item[1].is_over]
         records = [limit.record(name, now) for name, limit in active[-RECORDS_PER_DATAGRAM:]]
-        return LimitNews(records)
+        return LimitUpdate(records)
 
-    def tell_again(self, now: float) -> None:
+    def repeat_broadcasts(self, now: float) -> None:
         """Repeat broadcasts of recent changes and of limits that this router saw confirmed."""
         due = []
         for instance, limit in self._limits.items():
             is_change = limit.repeats_left > 0
-            interval_s = CHANGE_TOLD_AGAIN_S if is_change else TOLD_AGAIN_S
-            is_confirmed = not limit.is_over and limit.observed_at > limit.told_at
-            if now - limit.told_at >= interval_s and (is_change or is_confirmed):
-                limit.told_at = now
+            interval_s = CHANGE_BROADCAST_INTERVAL_S if is_change else BROADCAST_INTERVAL_S
+            is_confirmed = not limit.is_over and limit.observed_at > limit.broadcast_at
+            if now - limit.broadcast_at >= interval_s and (is_change or is_confirmed):
+                limit.broadcast_at = now
                 limit.repeats_left = max(0, limit.repeats_left - 1)
                 due.append(limit.record(instance, now))
         for first in range(0, len(due), RECORDS_PER_DATAGRAM):
-            self._tell(LimitNews(due[first : first + RECORDS_PER_DATAGRAM]))
+            self._broadcast(LimitUpdate(due[first : first + RECORDS_PER_DATAGRAM]))
 
     # Probes
 
--- a/src/martenrun/router/runner_request.py
+++ b/src/martenrun/router/runner_request.py
@@ -4,7 +4,7 @@
 
 from martenrun.router.messages import Admitted, Dispatch, Tenant
 from martenrun.router.overload import WaitingPrompt
-from martenrun.router.placement import PlacementQuestion, shared_prefix
+from martenrun.router.placement import PlacementQuery, shared_prefix_id
 from martenrun.router.runner_state import RunnerState
 from martenrun.router.world import World
 
@@ -22,23 +22,23 @@
 
 def placement_question(
     world: World, admitted: Admitted, tried: Collection[str], apart_by: bytes | None = None
-) -> PlacementQuestion:
+) -> PlacementQuery:
     """Return what a placement is asked for a request."""
     now = world.loop.now()
     call = admitted.call
     wanted = world.weights.wanted.get(call.model) if call.model else None
-    return PlacementQuestion(
+    return PlacementQuery(
         parts=call.parts,
         needed_tokens=call.prompt_tokens + EXPECTED_ANSWER_TOKENS,
         memory_tokens=world.memory_tokens(admitted.service),
-        wall=_wall(admitted.tenant).encode(),
+        isolation_key=_wall(admitted.tenant).encode(),
         model=call.model,
-        wanted_version=None if wanted is None else wanted.version,
-        oldest_version=world.oldest_weights(call.model, now) if call.model else 0,
-        tried=tried,
+        target_version=None if wanted is None else wanted.version,
+        minimum_version=world.oldest_weights(call.model, now) if call.model else 0,
+        tried_instances=tried,
         zone=world.settings.zone,
         now=now,
-        apart_by=apart_by,
+        suspect_fingerprint=apart_by,
     )
 
 
@@ -55,7 +55,7 @@
         objective_s=admitted.route.objective_s,
         is_urgent=table is None or table.is_most_urgent(admitted.route, admitted.service),
         groups=request_groups(admitted),
-        tokens_ahead=state.backlog_tokens,
+        backlog_tokens=state.backlog_tokens,
     )
 
 
@@ -63,7 +63,7 @@
     world: World,
     admitted: Admitted,
     state: RunnerState,
-    question: PlacementQuestion,
+    question: PlacementQuery,
     last_event_id: int,
 ) -> Dispatch:
     """Return what a runner is told with a request."""
@@ -71,7 +71,7 @@
     tenant = admitted.tenant
     version = None if call.model is None else state.weights_version(call.model)
     has_shared = len(call.parts) > 1
-    store = world.cache_store(shared_prefix(call.parts)) if has_shared else None
+    store = world.cache_store(shared_prefix_id(call.parts)) if has_shared else None
     left_s = min(admitted.deadline_at, admitted.give_up_at) - question.now
     return Dispatch(
         runner=state.runner.name,
@@ -81,13 +81,13 @@
         weights_version=version,
         cache_salt=None if call.model is None else f"{call.model}/{version}/{_wall(tenant)}",
         fetch_from=store or _cache_source(world, admitted, state, question),
-        save_to=store if world.placement.needs_saving(question, state) else None,
+        save_to=store if world.placement.needs_cache_save(question, state) else None,
         last_event_id=last_event_id if last_event_id > 0 else None,
     )
 
 
 def _cache_source(
-    world: World, admitted: Admitted, state: RunnerState, question: PlacementQuestion
+    world: World, admitted: Admitted, state: RunnerState, question: PlacementQuery
 ) -> str | None:
     """Return the address of a runner to fetch kept parts from where there is no store."""
     states = world.pool.states(admitted.service)
--- a/src/martenrun/router/weights_roll.py
+++ b/src/martenrun/router/weights_rollout.py
@@ -22,13 +22,13 @@
 from martenrun.router.peer_messages import LeaseNews, WeightsNews
 from martenrun.router.peers import Peers
 from martenrun.router.readers import strong_first
-from martenrun.router.roll_plan import RollQuestion, lacking, runners_to_order
+from martenrun.router.rollout_plan import RolloutQuery, outdated_runners, runners_to_load
 from martenrun.router.runner_state import RunnerState
 from martenrun.router.store_client import HttpCaller
-from martenrun.router.weights_news import WeightsTeller, take_weights_news
+from martenrun.router.weights_updates import WeightsUpdateBatcher, apply_weights_update
 from martenrun.router.world import World
 
-TICK_S = 0.1
+STEP_INTERVAL_S = 0.1
 """Interval between steps of a rollout, in seconds."""
 
 RANK_DELAY_S = 0.7
@@ -41,7 +41,7 @@
 REPORT_INTERVAL_S = 0.2
 """Interval at which a loading runner is asked for its report, in seconds."""
 
-ORDER_AGAIN_S = 1.0
+ORDER_RETRY_S = 1.0
 """Time after which an order without a known outcome may be sent again, in seconds."""
 
 STATUS_OK = 200
@@ -56,20 +56,20 @@
         instance: the runner's instance.
         model: the model.
         version: the version to load.
-        began_at: monotonic time from which the runner gets no new requests, in seconds.
-        since: monotonic time of the last report request or order, in seconds.
+        started_at: monotonic time from which the runner gets no new requests, in seconds.
+        last_step_at: monotonic time of the last report request or order, in seconds.
         is_ordered: whether an order may have reached the runner.
     """
 
     instance: str
     model: str
     version: int
-    began_at: float
-    since: float
+    started_at: float
+    last_step_at: float
     is_ordered: bool = False
 
 
-class WeightsRoller:
+class WeightsRollout:
     """Orders runners to load target weights while this router holds the lease."""
 
     def __init__(self, world: World, peers: Peers, lease: Lease) -> None:
@@ -81,80 +81,82 @@
         self._not_before: dict[str, float] = {}
         self._needed_since: float | None = None
         self._callers: dict[str, HttpCaller] = {}
-        self._is_ticking = False
-        self._teller = WeightsTeller(world.loop, peers)
-        self._ends_at = math.inf
-        self._turn_s = world.decisions.roll.first_turn_s
+        self._is_step_scheduled = False
+        self._update_batcher = WeightsUpdateBatcher(world.loop, peers)
+        self._stops_at = math.inf
+        self._load_time_s = world.decisions.roll.first_turn_s
 
     @property
     def _runs_end_s(self) -> float:
         return self._world.decisions.roll.runs_end_s
 
-    def check(self) -> None:
+    def schedule_step(self) -> None:
         """Schedule a step of the rollout; called after every change of targets or runners."""
-        if not self._is_ticking:
-            self._is_ticking = True
-            self._world.loop.call_later(0, self._tick)
+        if not self._is_step_scheduled:
+            self._is_step_scheduled = True
+            self._world.loop.call_later(0, self._step)
 
-    def end_by(self, ends_at: float) -> None:
+    def stop_by(self, stops_at: float) -> None:
         """Start no load that cannot be ordered before a time, and release the lease by then."""
-        self._ends_at = ends_at
-        self.check()
+        self._stops_at = stops_at
+        self.schedule_step()
 
-    def take_release(self, news: LeaseNews) -> None:
+    def handle_lease_release(self, update: LeaseNews) -> None:
         """Record that another router has released the lease."""
         record = LeaseRecord(
-            news.holder, news.fencing_token, released_idle_s=news.idle_ms / MS_PER_S
+            update.holder, update.fencing_token, released_idle_s=update.idle_ms / MS_PER_S
         )
-        self._lease.note_revision(record, news.revision)
-        self.check()
+        self._lease.record_revision(record, update.revision)
+        self.schedule_step()
 
-    def _tick(self) -> None:
-        self._is_ticking = False
+    def _step(self) -> None:
+        self._is_step_scheduled = False
         now = self._world.loop.now()
-        models = self._models_lacking()
-        if self._is_at_its_end(models, now):
-            self._lease.release(self._tell_release)
+        models = self._outdated_models()
+        if self._is_finished(models, now):
+            self._lease.release(self._broadcast_release)
         if not models:
             self._needed_since = None
             for instance in list(self._loads):
-                self._end_load(instance)
+                self._remove_load(instance)
             return
         if self._needed_since is None:
             self._needed_since = now
-        self._pursue_lease(now)
+        self._acquire_lease(now)
         for model in models:
             self._check_loads(model, self._world.weights.wanted[model].version, now)
             if self._lease.is_held():
-                self._order_model(model, now)
+                self._start_loads(model, now)
             else:
-                self._drop_unordered(model)
-        self._is_ticking = True
-        self._world.loop.call_later(TICK_S, self._tick)
+                self._cancel_unordered_loads(model)
+        self._is_step_scheduled = True
+        self._world.loop.call_later(STEP_INTERVAL_S, self._step)
 
-    def _pursue_lease(self, now: float) -> None:
+    def _acquire_lease(self, now: float) -> None:
         is_held = self._lease.is_held()
-        if self._ends_at < math.inf and not is_held:
+        if self._stops_at < math.inf and not is_held:
             return
         rank = 0 if is_held else self._rank()
         if now - (self._needed_since or now) >= RANK_DELAY_S * rank:
-            self._lease.pursue(rank)
+            self._lease.acquire_or_renew(rank)
 
-    def _is_at_its_end(self, models: list[str], now: float) -> bool:
+    def _is_finished(self, models: list[str], now: float) -> bool:
         """Return whether this router is stopping and has nothing left to order."""
-        if now >= self._ends_at or self._ends_at == math.inf:
-            return now >= self._ends_at
-        may_begin = bool(models) and now + self._runs_end_s <= self._ends_at
+        if now >= self._stops_at or self._stops_at == math.inf:
+            return now >= self._stops_at
+        may_begin = bool(models) and now + self._runs_end_s <= self._stops_at
         return not may_begin and all(load.is_ordered for load in self._loads.values())
 
-    def _tell_release(self, record: LeaseRecord, revision: int) -> None:
+    def _broadcast_release(self, record: LeaseRecord, revision: int) -> None:
         idle_ms = round((record.released_idle_s or 0.0) * MS_PER_S)
         self._peers.tell_all(LeaseNews(record.holder, record.fencing_token, revision, idle_ms))
 
-    def _models_lacking(self) -> list[str]:
+    def _outdated_models(self) -> list[str]:
         states = self._world.pool.all_states()
-        wanted = self._world.weights.wanted
-        return [name for name, item in wanted.items() if lacking(states, name, item.version)]
+        targets = self._world.weights.wanted
+        return [
+            name for name, item in targets.items() if outdated_runners(states, name, item.version)
+        ]
 
     def _rank(self) -> int:
         """Return this router's rank among the live routers: last holder first, then by hashing."""
@@ -163,35 +165,37 @@
         candidates += [
             record for record in self._peers.live() if record.is_current and not record.is_leaving
         ]
-        living = strong_first(b"weights", {item.address: item.capacity for item in candidates})
-        last = self._lease.last_router()
-        if last is not None and last in living:
-            living.remove(last)
-            living.insert(0, last)
-        return living.index(own.address)
-
-    def _order_model(self, model: str, now: float) -> None:
+        ranking = strong_first(b"weights", {item.address: item.capacity for item in candidates})
+        last = self._lease.last_holder_address()
+        if last is not None and last in ranking:
+            ranking.remove(last)
+            ranking.insert(0, last)
+        return ranking.index(own.address)
+
+    def _start_loads(self, model: str, now: float) -> None:
         version = self._world.weights.wanted[model].version
-        question = RollQuestion(
+        query = RolloutQuery(
             model=model,
             version=version,
             loading=set(self._loads),
             not_before=self._earliest_loads(model),
             now=now,
-            figures=self._world.decisions.roll,
-            turn_s=self._turn_s,
-            namings=self._world.weights.namings(model),
-            bound_s=self._world.old_weights_bound_s,
-            ends_at=self._ends_at,
+            parameters=self._world.decisions.roll,
+            load_time_s=self._load_time_s,
+            target_changes=self._world.weights.namings(model),
+            old_weights_bound_s=self._world.old_weights_bound_s,
+            stops_at=self._stops_at,
         )
-        states = runners_to_order(question, self._world.pool.all_states())
+        states = runners_to_load(query, self._world.pool.all_states())
         instances = [state.runner.instance for state in states]
         for instance, state in zip(instances, states, strict=True):
             self._loads[instance] = WeightsLoad(instance, model, version, now, now)
             log_event("load_begun", instance=instance, model=model, version=version)
-            self._tell(state, model, version, is_loaded=False)
+            self._report_load(state, model, version, is_loaded=False)
         if states:
-            self._lease.reserve(instances, lambda done: self._on_reserved(states, model, done))
+            self._lease.reserve(
+                instances, lambda is_stored: self._on_reserved(states, model, is_stored)
+            )
 
     def _earliest_loads(self, model: str) -> dict[str, float]:
         """Return the times before which loads at runners are not started.
@@ -200,34 +204,36 @@
         finish for an order of this router.
         """
         earliest = dict(self._not_before)
-        for state in lacking(
+        for state in outdated_runners(
             self._world.pool.all_states(), model, self._world.weights.wanted[model].version
         ):
             instance = state.runner.instance
-            from_turn = self._lease.turns.orders_from(instance) - self._runs_end_s
-            earliest[instance] = max(from_turn, earliest.get(instance, 0.0))
+            from_schedule = (
+                self._lease.order_schedule.earliest_order_at(instance) - self._runs_end_s
+            )
+            earliest[instance] = max(from_schedule, earliest.get(instance, 0.0))
         return earliest
 
-    def _on_reserved(self, states: list[RunnerState], model: str, is_done: bool) -> None:
+    def _on_reserved(self, states: list[RunnerState], model: str, is_stored: bool) -> None:
         """Continue with loads after their runners have been reserved in the lease object."""
         for state in states:
             if state.runner.instance not in self._loads:
                 continue
-            if is_done:
-                self._ask_report(state, model)
+            if is_stored:
+                self._request_report(state, model)
             else:
-                self._drop(state, "not_reserved")
+                self._postpone_load(state, "not_reserved")
 
-    def _drop_unordered(self, model: str) -> None:
+    def _cancel_unordered_loads(self, model: str) -> None:
         """Cancel the loads of a model that have not been ordered, as the lease is lost."""
         for instance, load in list(self._loads.items()):
             if load.model == model and not load.is_ordered:
-                self._end_load(instance)
+                self._remove_load(instance)
 
-    def _end_load(self, instance: str) -> WeightsLoad | None:
+    def _remove_load(self, instance: str) -> WeightsLoad | None:
         """Remove a load; its runner is ordered again only after a new reservation."""
         if instance not in self._unanswered_orders:
-            self._lease.turns.finish(instance)
+            self._lease.order_schedule.cancel(instance)
         return self._loads.pop(instance, None)
 
     def _check_loads(self, model: str, version: int, now: float) -> None:
@@ -235,76 +241,78 @@
             if load.model != model:
                 continue
             state = self._world.pool.state(instance)
-            has = None if state is None else state.weights_version(model)
-            if state is None or (has is not None and has >= version):
-                self._note_done(instance, now)
-            elif not load.is_ordered and not self._lease.turns.is_reserved(instance):
-                self._drop(state, "not_reserved")
-            elif now - load.since >= REPORT_INTERVAL_S:
-                load.since = now
-                self._ask_report(state, model)
-
-    def _note_done(self, instance: str, now: float) -> None:
+            current = None if state is None else state.weights_version(model)
+            if state is None or (current is not None and current >= version):
+                self._finish_load(instance, now)
+            elif not load.is_ordered and not self._lease.order_schedule.is_reserved(instance):
+                self._postpone_load(state, "not_reserved")
+            elif now - load.last_step_at >= REPORT_INTERVAL_S:
+                load.last_step_at = now
+                self._request_report(state, model)
+
+    def _finish_load(self, instance: str, now: float) -> None:
         """Remove a finished load and update the average load time."""
-        load = self._end_load(instance)
+        load = self._remove_load(instance)
         if load is not None and load.is_ordered:
-            weight_of_new = self._world.decisions.roll.turn_weight
-            self._turn_s += weight_of_new * (now - load.began_at - self._turn_s)
+            latest_weight = self._world.decisions.roll.turn_weight
+            self._load_time_s += latest_weight * (now - load.started_at - self._load_time_s)
 
-    def _tell(self, state: RunnerState, model: str, version: int, is_loaded: bool) -> None:
+    def _report_load(self, state: RunnerState, model: str, version: int, is_loaded: bool) -> None:
         """Apply a runner's loading state here and broadcast it with the next batch."""
         instance = state.runner.instance
-        take_weights_news(self._world, WeightsNews([instance], model, version, is_loaded))
-        self._teller.tell(instance, model, version, is_loaded)
+        apply_weights_update(self._world, WeightsNews([instance], model, version, is_loaded))
+        self._update_batcher.add(instance, model, version, is_loaded)
 
-    def _ask_report(self, state: RunnerState, model: str) -> None:
+    def _request_report(self, state: RunnerState, model: str) -> None:
         self._call(
             state,
             self._world.dialect.ask_report(),
             REPORT_TIMEOUT_S,
-            lambda answer: self._on_report(answer, state, model),
+            lambda response: self._on_report(response, state, model),
         )
 
-    def _on_report(self, answer: HttpAnswer | None, state: RunnerState, model: str) -> None:
+    def _on_report(self, response: HttpAnswer | None, state: RunnerState, model: str) -> None:
         instance = state.runner.instance
         load = self._loads.get(instance)
-        wanted = self._world.weights.wanted[model].version
+        target = self._world.weights.wanted[model].version
         if load is None:
             return
-        if answer is None or answer.status != STATUS_OK:
-            self._drop(state, "no_report")
+        if response is None or response.status != STATUS_OK:
+            self._postpone_load(state, "no_report")
             return
-        report = decoded(answer.body, self._world.dialect.read_report)
+        report = decoded(response.body, self._world.dialect.read_report)
         if report is None:
-            self._drop(state, "report_unreadable")
+            self._postpone_load(state, "report_unreadable")
             return
         if report.born_ms != state.runner.born_ms and report.born_ms is not None:
             # The runner has restarted and its entry is outdated: its order count began at zero.
-            self._drop(state, "started_again")
+            self._postpone_load(state, "started_again")
             return
-        has = report.weights.get(model, 0)
-        if has >= load.version:
-            self._note_done(instance, self._world.loop.now())
-            log_event("load_done", instance=instance, model=model, version=has)
-            self._tell(state, model, has, is_loaded=has >= wanted)
+        current = report.weights.get(model, 0)
+        if current >= load.version:
+            self._finish_load(instance, self._world.loop.now())
+            log_event("load_done", instance=instance, model=model, version=current)
+            self._report_load(state, model, current, is_loaded=current >= target)
         elif not report.is_loading and not load.is_ordered and self._may_order(load, report):
-            self._order(state, model, wanted, report)
+            self._send_order(state, model, target, report)
 
     def _may_order(self, load: WeightsLoad, report: RunnerReport) -> bool:
         """Return whether the runner's requests have finished or had enough time to finish."""
         now = self._world.loop.now()
         if not self._lease.may_order(load.instance):
             return False
-        return report.active == 0 or now - load.began_at >= self._runs_end_s
+        return report.active == 0 or now - load.started_at >= self._runs_end_s
 
-    def _order(self, state: RunnerState, model: str, version: int, report: RunnerReport) -> None:
+    def _send_order(
+        self, state: RunnerState, model: str, version: int, report: RunnerReport
+    ) -> None:
         if not self._lease.may_order(state.runner.instance):
-            self._end_load(state.runner.instance)
+            self._remove_load(state.runner.instance)
             return
         load = self._loads[state.runner.instance]
         load.version = version
         load.is_ordered = True
-        load.since = self._world.loop.now() + REPORT_INTERVAL_S
+        load.last_step_at = self._world.loop.now() + REPORT_INTERVAL_S
         order = WeightsOrder(
             runner=state.runner.name,
             model=model,
@@ -314,7 +322,7 @@
             expected_orders=report.orders_taken,
             lets_runs_finish=False,
         )
-        self._lease.note_order(state.runner.instance)
+        self._lease.record_order(state.runner.instance)
         self._unanswered_orders.add(state.runner.instance)
         log_event(
             "weights_ordered",
@@ -327,25 +335,27 @@
             state,
             self._world.dialect.order_weights(order),
             ORDER_TIMEOUT_S,
-            lambda answer: self._on_ordered(answer, state, model, version),
+            lambda response: self._on_ordered(response, state, model, version),
         )
 
     def _on_ordered(
-        self, answer: HttpAnswer | None, state: RunnerState, model: str, version: int
+        self, response: HttpAnswer | None, state: RunnerState, model: str, version: int
     ) -> None:
         # The order may have arrived as late as now.
         instance = state.runner.instance
-        self._lease.note_order(instance)
+        self._lease.record_order(instance)
         self._unanswered_orders.discard(instance)
         if instance not in self._loads:
-            self._lease.turns.finish(instance)
+            self._lease.order_schedule.cancel(instance)
             return
-        outcome = None if answer is None else self._world.dialect.read_order_outcome(answer.status)
+        outcome = (
+            None if response is None else self._world.dialect.read_order_outcome(response.status)
+        )
         if outcome is OrderOutcome.ACCEPTED:
             return
         if outcome is OrderOutcome.HOLDS_ALREADY:
-            self._end_load(instance)
-            self._tell(state, model, version, is_loaded=True)
+            self._remove_load(instance)
+            self._report_load(state, model, version, is_loaded=True)
             return
         log_trouble(
             "order_failed", instance=instance, outcome=None if outcome is None else outcome.value
@@ -353,26 +363,26 @@
         if outcome is None:
             # The order may have been accepted or may still be executed; it is repeated if the
             # reports do not show that it was.
-            self._world.loop.call_later(ORDER_AGAIN_S, lambda: self._allow_again(instance))
+            self._world.loop.call_later(ORDER_RETRY_S, lambda: self._allow_retry(instance))
         else:
-            self._drop(state, outcome.value)
+            self._postpone_load(state, outcome.value)
 
-    def _allow_again(self, instance: str) -> None:
+    def _allow_retry(self, instance: str) -> None:
         load = self._loads.get(instance)
         if load is not None:
             load.is_ordered = False
 
-    def _drop(self, state: RunnerState, reason: str) -> None:
+    def _postpone_load(self, state: RunnerState, reason: str) -> None:
         """Postpone a runner's load, so that another runner can load first."""
         now = self._world.loop.now()
-        self._end_load(state.runner.instance)
+        self._remove_load(state.runner.instance)
         self._not_before[state.runner.instance] = now + 2 * REPORT_INTERVAL_S
         state.loading_until = 0.0
         log_trouble("load_put_off", instance=state.runner.instance, reason=reason)
 
-    def _call(self, state, call: HttpCall, timeout_s: float, on_answer) -> None:  # type: ignore[no-untyped-def]
+    def _call(self, state, call: HttpCall, timeout_s: float, on_response) -> None:  # type: ignore[no-untyped-def]
         address = state.runner.address
         caller = self._callers.get(address)
         if caller is None:
             caller = self._callers[address] = HttpCaller(self._world.loop, address)
-        caller.call(call, timeout_s, on_answer)
+        caller.call(call, timeout_s, on_response)
--- a/src/martenrun/router/world.py
+++ b/src/martenrun/router/world.py
@@ -6,7 +6,6 @@
 
 from martenrun.identity.rendezvous import weight
 from martenrun.net.loop import Loop
-from martenrun.router.decisions import Decisions
 from martenrun.router.dialect import Dialect
 from martenrun.router.knowledge import ConfigurationKnowledge, RunnerDirectory, WeightsKnowledge
 from martenrun.router.messages import KeptCacheStore, Route
@@ -19,6 +18,7 @@
 from martenrun.router.runner_state import RunnerState
 from martenrun.router.settings import RouterSettings
 from martenrun.router.suspects import Suspects
+from martenrun.router.tuning import TuningParameters
 
 OLD_WEIGHTS_MARGIN_S = 0.9
 """How long before the bound no request is sent to older weights any more, in seconds.
@@ -61,7 +61,7 @@
     store_works: Callable[[KeptCacheStore], bool]
     note_reading: Callable[[RunnerState], None]
     refresh_loads: Callable[[], None]
-    decisions: Decisions = attrs.field(factory=Decisions)
+    decisions: TuningParameters = attrs.field(factory=TuningParameters)
     spends_from: float = 0.0
     quotas: QuotaGate | None = None
     runner_limits: RunnerLimits = attrs.field(factory=RunnerLimits)
--- a/tests/router/builders.py
+++ b/tests/router/builders.py
@@ -10,7 +10,7 @@
     Tenant,
     WeightedService,
 )
-from martenrun.router.placement import PlacementQuestion
+from martenrun.router.placement import PlacementQuery
 from martenrun.router.runner_state import RunnerState
 from martenrun.router.settings import Bounds
 
@@ -79,17 +79,17 @@
     return Configuration(**{**fields, **changes})
 
 
-def question(**changes):
+def placement_query(**changes):
     fields = {
         "parts": (),
         "needed_tokens": 0,
         "memory_tokens": 0,
-        "wall": b"",
+        "isolation_key": b"",
         "model": None,
-        "wanted_version": None,
-        "oldest_version": 0,
-        "tried": (),
+        "target_version": None,
+        "minimum_version": 0,
+        "tried_instances": (),
         "zone": "z1",
         "now": 100.0,
     }
-    return PlacementQuestion(**{**fields, **changes})
+    return PlacementQuery(**{**fields, **changes})
--- a/tests/router/lease_world.py
+++ b/tests/router/lease_world.py
@@ -8,7 +8,7 @@
 LEASE_S = 3.0
 
 
-def made(loop, store, holder):
+def make_lease(loop, store, holder):
     return Lease(loop, store, DIALECT, "weights", holder, LEASE_S)
 
 
@@ -21,17 +21,17 @@
     lease.reserve([runner], done.append)
     loop.run_until(loop.now() + 0.01)
     assert done == [True] and lease.may_order(runner)
-    lease.note_order(runner)
+    lease.record_order(runner)
     return loop.now()
 
 
-def pursue_for(loop, leases, seconds, rank=0):
+def run_leases(loop, leases, seconds, rank=0):
     """Let routers acquire or renew the lease every 0.1 s; return (time, lease) while it is held."""
     held = []
     end = loop.now() + seconds
     while loop.now() < end:
         for lease in leases:
-            lease.pursue(rank)
+            lease.acquire_or_renew(rank)
         loop.run_until(loop.now() + 0.1)
         held += [(loop.now(), lease) for lease in leases if lease.is_held()]
     return held
@@ -51,7 +51,7 @@
 )
 
 
-class Crowd:
+class LeaseContenders:
     """Routers that compete for a lease through restarts, pauses and failures of the store."""
 
     def __init__(self, loop, store, rng, runners=(RUNNER,)):
@@ -59,60 +59,60 @@
         self.loop = loop
         self.store = store
         self.rng = rng
-        self.lives = itertools.count(1)
+        self.incarnations = itertools.count(1)
         self.orders = []
-        self.routers = {name: self.new_life(name) for name in ("n1", "n2", "n3")}
+        self.routers = {name: self.new_incarnation(name) for name in ("n1", "n2", "n3")}
 
     def start(self, name):
-        self.routers[name] = self.new_life(name)
+        self.routers[name] = self.new_incarnation(name)
 
-    def new_life(self, name):
-        return made(self.loop, self.store, f"{name}#{next(self.lives)}")
+    def new_incarnation(self, name):
+        return make_lease(self.loop, self.store, f"{name}#{next(self.incarnations)}")
 
-    def tell(self, name):
-        def told(record, revision):
+    def release_callback(self, name):
+        def on_released(record, revision):
             for other, lease in self.routers.items():
                 if other != name and self.rng.random() < 0.7:
-                    lease.note_revision(record, revision)
+                    lease.record_revision(record, revision)
 
-        return told
+        return on_released
 
-    def act(self):
+    def apply_random_action(self):
         name = self.rng.choice(list(self.routers))
         action = self.rng.choice(ACTIONS)
         if action == "restart":
-            self.routers[name] = self.new_life(name)
+            self.routers[name] = self.new_incarnation(name)
         elif action == "die" and len(self.routers) > 1:
             del self.routers[name]
             self.loop.call_later(self.rng.uniform(0.5, 12.0), lambda: self.start(name))
         elif action == "release":
-            self.routers[name].release(self.tell(name))
+            self.routers[name].release(self.release_callback(name))
             self.loop.run_until(self.loop.now() + 0.05)
-            self.routers[name] = self.new_life(name)
+            self.routers[name] = self.new_incarnation(name)
         elif action == "pause":
             self.loop.run_until(self.loop.now() + self.rng.choice((0.5, 4.0)))
         elif action in ("silence", "lose answers", "heal"):
             self.store.is_silent = action == "silence"
             self.store.loses_answers = action == "lose answers"
 
-    def order(self):
+    def give_orders(self):
         """Let each holder order the runners that it may order and reserve the others."""
         for name, lease in self.routers.items():
             for runner in self.runners:
                 if lease.may_order(runner):
-                    lease.note_order(runner)
+                    lease.record_order(runner)
                     self.orders.append((self.loop.now(), name, lease.fencing_token, runner))
                     if self.rng.random() < 0.1:
-                        lease.turns.finish(runner)
-                elif lease.is_held() and not lease.turns.is_reserved(runner):
+                        lease.order_schedule.cancel(runner)
+                elif lease.is_held() and not lease.order_schedule.is_reserved(runner):
                     lease.reserve([runner], lambda _done: None)
 
     def run(self, seconds):
         end = self.loop.now() + seconds
         while self.loop.now() < end:
             if self.rng.random() < 0.08:
-                self.act()
+                self.apply_random_action()
             for rank, lease in enumerate(self.routers.values()):
-                lease.pursue(rank)
+                lease.acquire_or_renew(rank)
             self.loop.run_until(self.loop.now() + 0.1)
-            self.order()
+            self.give_orders()
--- a/tests/router/limit_world.py
+++ b/tests/router/limit_world.py
@@ -32,9 +32,9 @@
         self.quotas = fleet.gates[address]
         self.state = state(INSTANCE)
         self.runner_limits = RunnerLimits(peers.tell_all, self._on_changed, rng=fleet.rng)
-        peers._on_news = lambda news: self.runner_limits.take(news, self.loop.now())
-        peers._newcomer_news = self._newcomer_news
-        self._keep_house()
+        peers._on_news = lambda news: self.runner_limits.merge(news, self.loop.now())
+        peers._newcomer_news = self._new_router_updates
+        self._run_maintenance()
 
     @property
     def is_stopped(self):
@@ -43,15 +43,15 @@
     def _on_changed(self, _instance):
         self.state.limited_until = 0.0
 
-    def _newcomer_news(self, _routers):
-        news = self.runner_limits.newcomer_news(self.loop.now())
-        return [] if news is None else [news]
+    def _new_router_updates(self, _routers):
+        update = self.runner_limits.new_router_update(self.loop.now())
+        return [] if update is None else [update]
 
-    def _keep_house(self):
+    def _run_maintenance(self):
         if not self.is_stopped or self.address not in self.fleet.limited:
             if not self.fleet.world.routers[self.address].is_still:
-                self.runner_limits.tell_again(self.loop.now())
-            self.loop.call_later(0.25, self._keep_house)
+                self.runner_limits.repeat_broadcasts(self.loop.now())
+            self.loop.call_later(0.25, self._run_maintenance)
 
     def handle_request(self):
         """Handle one request for which the runner is the first choice."""
@@ -59,7 +59,7 @@
         if access.may_send(self.state):
             self._send(access)
         elif self.state.is_limited(self.loop.now()):
-            self.fleet.passed_over += 1
+            self.fleet.skipped += 1
         else:
             access.obtain(self.state, lambda _grant: self._send_granted(access))
 
@@ -70,7 +70,7 @@
             access.close()
 
     def _send(self, access):
-        access.note_sent(self.state)
+        access.record_sent(self.state)
         sent_at = self.loop.now()
         self.fleet.arrivals.append((self.fleet.now(), self.address))
         advertised = self.fleet.advertised
@@ -83,10 +83,10 @@
             return
         now = self.loop.now()
         if advertised is None:
-            self.runner_limits.note_absent(INSTANCE, sent_at, now)
+            self.runner_limits.record_absent(INSTANCE, sent_at, now)
         else:
             limit = AdvertisedLimit(advertised, str(advertised))
-            self.runner_limits.note_advertised(INSTANCE, limit, now)
+            self.runner_limits.record_advertised(INSTANCE, limit, now)
 
 
 class LimitFleet(QuotaFleet):
@@ -98,7 +98,7 @@
         self.per_s = per_s
         self.advertised = None
         self.arrivals = []
-        self.passed_over = 0
+        self.skipped = 0
         limit = RateLimit(per_s, 1.0)
         super().__init__(seed, count, loss=loss, limit=limit, bounds=RUNNER_LIMIT_BOUNDS)
 
--- a/tests/router/test_budget.py
+++ b/tests/router/test_budget.py
@@ -9,24 +9,24 @@
 
 
 @given(st.integers(1, 20), st.integers(0, 300))
-def test_all_nodes_together_stay_within_the_allowance(nodes, requests_each):
-    repeats = 0
-    for _ in range(nodes):
+def test_all_routers_together_stay_within_the_allowance(routers, requests_per_router):
+    retries = 0
+    for _ in range(routers):
         budget = RetryBudget(bounds(), 0.0)
-        for _ in range(requests_each):
-            budget.note_request(100.0)
-        while budget.may_repeat(100.0, nodes):
-            budget.note_repeat(100.0)
-            repeats += 1
-    assert repeats <= 0.2 * requests_each * nodes + 54
+        for _ in range(requests_per_router):
+            budget.record_request(100.0)
+        while budget.may_retry(100.0, routers):
+            budget.record_retry(100.0)
+            retries += 1
+    assert retries <= 0.2 * requests_per_router * routers + 54
 
 
-def test_repeats_are_forgotten_after_the_window():
+def test_retries_expire_after_the_window():
     budget = RetryBudget(bounds(), 0.0)
-    while budget.may_repeat(100.0, 16):
-        budget.note_repeat(100.0)
-    assert not budget.may_repeat(109.0, 16)
-    assert budget.may_repeat(111.0, 16)
+    while budget.may_retry(100.0, 16):
+        budget.record_retry(100.0)
+    assert not budget.may_retry(109.0, 16)
+    assert budget.may_retry(111.0, 16)
 
 
 class Fleet:
@@ -35,34 +35,34 @@
     Each incarnation only counts its own requests and retries; the counts of earlier ones are lost.
     """
 
-    def __init__(self, nodes, requests_per_s):
-        self.nodes = nodes
+    def __init__(self, routers, requests_per_s):
+        self.routers = routers
         self.requests_per_s = requests_per_s
-        self.budgets = [RetryBudget(bounds(), 0.0) for _ in range(nodes)]
-        self.sent = []
-        self.asked = []
+        self.budgets = [RetryBudget(bounds(), 0.0) for _ in range(routers)]
+        self.retry_times = []
+        self.request_times = []
 
-    def play(self, restarts, seconds):
+    def run(self, restarts, seconds):
         """Simulate steps of 0.1 s; ``restarts`` returns the routers that restart at a step."""
         for step in range(int(seconds * 10)):
             now = step / 10
-            for node in restarts(step):
-                self.budgets[node] = RetryBudget(bounds(), now + bounds().budget_window_s)
+            for router in restarts(step):
+                self.budgets[router] = RetryBudget(bounds(), now + bounds().budget_window_s)
             for budget in self.budgets:
                 if step % max(1, round(10 / self.requests_per_s)) == 0:
-                    budget.note_request(now)
-                    self.asked.append(now)
-                while budget.may_repeat(now, self.nodes):
-                    budget.note_repeat(now)
-                    self.sent.append(now)
+                    budget.record_request(now)
+                    self.request_times.append(now)
+                while budget.may_retry(now, self.routers):
+                    budget.record_retry(now)
+                    self.retry_times.append(now)
 
     def worst_share(self):
         """Return the largest share of the allowance that was used in any ten seconds."""
         worst = 0.0
-        for begin in range(60):
-            repeats = sum(begin <= at < begin + 10 for at in self.sent)
-            requests = sum(begin <= at < begin + 10 for at in self.asked)
-            worst = max(worst, repeats / (0.2 * requests + 54))
+        for start in range(60):
+            retries = sum(start <= at < start + 10 for at in self.retry_times)
+            requests = sum(start <= at < start + 10 for at in self.request_times)
+            worst = max(worst, retries / (0.2 * requests + 54))
         return worst
 
 
@@ -85,6 +85,6 @@
     shares = {}
     for name, restarts in RESTARTS.items():
         fleet = Fleet(7, 2)
-        fleet.play(restarts, 70)
+        fleet.run(restarts, 70)
         shares[name] = fleet.worst_share()
     assert max(shares.values()) <= 1.0, shares
--- a/tests/router/test_configuration_told.py
+++ b/tests/router/test_configuration_told.py
@@ -44,7 +44,7 @@
     behind.loop.time = now
     call = Call(b"r1", "a.example", "/a/x", b"k1", 3.0, None, (), 0, 0)
     exchange = SimpleNamespace(request=HttpRequest(b"GET", b"/a/x", [], b"", now))
-    return Admission(behind).decide(exchange, call)
+    return Admission(behind).admit(exchange, call)
 
 
 def test_it_serves_until_shortly_before_the_bound_and_then_refuses(behind):
--- a/tests/router/test_denials.py
+++ b/tests/router/test_denials.py
@@ -55,7 +55,7 @@
         self.knowledge.confirm(self.loop.now())
         world = SimpleNamespace(loop=self.loop, configuration=self.knowledge, dialect=DIALECT)
         admission = SimpleNamespace(
-            decide=lambda exchange, call: SimpleNamespace(status=404, reason="no_route")
+            admit=lambda exchange, call: SimpleNamespace(status=404, reason="no_route")
         )
         feed = SimpleNamespace(put_configuration=lambda stored: None)
         self.denials = Denials(world, admission, self.store, feed, lambda *_: None)
--- a/tests/router/test_forwarding.py
+++ b/tests/router/test_forwarding.py
@@ -6,13 +6,13 @@
 from martenrun.net.http import HttpRequest
 from martenrun.platform import DIALECT
 from martenrun.router import trail
-from martenrun.router.decisions import DEFAULTS
 from martenrun.router.fingerprint import fingerprint
 from martenrun.router.forwarding import Forwarding
 from martenrun.router.knowledge import ConfigurationKnowledge, RunnerDirectory, WeightsKnowledge
 from martenrun.router.messages import Admitted, Call, PromptPart, RouteKind, WantedWeights
 from martenrun.router.placement import Placement
-from martenrun.router.reading_speed import LEAST_SAMPLES
+from martenrun.router.prefill_rate import MINIMUM_SAMPLES
+from martenrun.router.tuning import DEFAULTS
 from martenrun.router.world import World
 
 from .blame_world import Probes, suspects
@@ -152,8 +152,8 @@
         call = Call(b"r1", "a.example", "/a/x", b"k1", 3.0, model, parts, 110, 0)
         self.route = the_route or route()
         admitted = Admitted(call, self.route, None, "s", now + 3.0, now + self.route.timeout_s)
-        for _ in range(tokens_per_s and LEAST_SAMPLES):
-            self.world.guard("s").speed.note(tokens_per_s, 1.0)
+        for _ in range(tokens_per_s and MINIMUM_SAMPLES):
+            self.world.guard("s").prefill_rate.add_sample(tokens_per_s, 1.0)
         self.forwarding = Forwarding(self.world, self.exchange, admitted, lambda _f: None)
         before(self)
         self.forwarding.start()
@@ -167,7 +167,7 @@
     played = Played([GOOD]).run(0.1)
     assert played.exchange.answers[0][0] == 200
     assert played.ends == ["served"]
-    assert all(item.in_flight == 0 and item.reading == 0 for item in played.states)
+    assert all(item.in_flight == 0 and item.pending_prefill_tokens == 0 for item in played.states)
 
 
 def test_a_request_that_waits_for_a_runner_keeps_within_the_retry_budget():
@@ -233,7 +233,7 @@
     states = [state("i-0"), state("i-1")]
 
     def told():
-        states[0].elsewhere = 6
+        states[0].other_requests = 6
 
     played = Played([GOOD], states=states, refresh_loads=told).run(0.1)
     assert played.pool.sent == ["i-1"]
@@ -262,7 +262,7 @@
     played = Played(the_route=resumable, states=[old, new], model="m").run(0.01)
     first = played.pool.sent[0]
     other = new if first == "i-0" else old
-    other.learn_weights("m", 2)
+    other.record_weights("m", 2)
     played.weights.take(WantedWeights("m", 2), played.loop.now())
     played.forwarding.leave_old_weights(played.loop.now() + 7.0)
     assert len(played.pool.sent) == 1
@@ -276,7 +276,7 @@
     """Twice the traffic that the runners can read made nearly every answer late or fail."""
     busy = [state("i-0"), state("i-1")]
     for item in busy:
-        item.reading_elsewhere = 60_000
+        item.other_prefill_tokens = 60_000
     played = Played(states=busy, model="m", tokens_per_s=40_000).run(0.2)
     status, headers, _ = played.exchange.answers[0]
     assert (status, played.pool.sent) == (503, [])
@@ -288,25 +288,25 @@
     lines = []
     monkeypatch.setattr(trail, "log_trouble", lambda event, **fields: lines.append((event, fields)))
     busy = [state("i-0")]
-    busy[0].reading_elsewhere = 60_000
+    busy[0].other_prefill_tokens = 60_000
     played = Played([GOOD], states=busy, model="m", tokens_per_s=40_000)
     assert played.exchange.answers[0][0] == 503
     held_back = next(fields for event, fields in lines if event == "held_back")
     assert (held_back["backlog"], held_back["wait_ms"]) == (60_000, 1_500)
-    busy[0].reading_elsewhere = 0
+    busy[0].other_prefill_tokens = 0
     assert played.run(0.1).pool.sent == []
 
 
 def test_requests_without_a_prompt_do_not_wait_for_prompts():
     busy = [state("i-0")]
-    busy[0].reading_elsewhere = 60_000
+    busy[0].other_prefill_tokens = 60_000
     assert Played([GOOD], states=busy, tokens_per_s=40_000).run(0.01).pool.sent == ["i-0"]
 
 
 def test_the_speed_of_reading_is_learned_from_first_tokens():
     stream = route(kind=RouteKind.STREAM, timeout_s=20.0)
     only = [state("i-0")]
-    only[0].reading_elsewhere = 4_000
+    only[0].other_prefill_tokens = 4_000
     played = Played(the_route=stream, states=only, model="m")
     played.loop.time += 0.25
     reader = played.pool.readers[0]
@@ -314,7 +314,7 @@
     reader.on_body(b"id: 1\ndata: x\n\n")
     played.loop.time += 5.0
     reader.on_body(b"id: 2\ndata: x\n\n")
-    speed = played.world.guard("s").speed
+    speed = played.world.guard("s").prefill_rate
     assert speed.samples == 1
     assert speed.tokens / speed.seconds == pytest.approx(4_110 / 0.25)
 
@@ -369,7 +369,7 @@
     for load in loads:
         states = [state(f"i-{n}") for n in range(3)]
         for each, in_flight in zip(states, load, strict=True):
-            each.elsewhere = in_flight
+            each.other_requests = in_flight
         chosen.update(Played([GOOD], states=states, before=blamed_for(1)).run(0.1).pool.sent)
     assert len(chosen) == 1
 
--- a/tests/router/test_loads.py
+++ b/tests/router/test_load_exchange.py
@@ -1,6 +1,10 @@
 """Tests of the load exchange: long prompts are broadcast at once, others sent with records."""
 
-from martenrun.router.loads import READING_TOLD_AGAIN_S, TOLD_AT_ONCE_TOKENS, LoadExchange
+from martenrun.router.load_exchange import (
+    BROADCAST_THRESHOLD_TOKENS,
+    REPORT_INTERVAL_S,
+    LoadExchange,
+)
 from martenrun.router.peer_messages import RunnerLoad
 from martenrun.router.runner_pool import RunnerPool
 
@@ -17,69 +21,77 @@
     return LoadExchange(pool, peers), peers, pool.state("i-0")
 
 
-def test_a_long_prompt_is_told_at_once_when_it_is_sent_and_when_it_is_read():
+def test_long_prompt_is_broadcast_when_sent_and_when_prefilled():
     loads, peers, state = exchange()
-    state.note_sent(0.0)
-    state.reading, state.held = 9_000.0, 9_200
-    loads.note_reading(state)
-    state.reading = 0.0
-    loads.note_reading(state)
+    state.record_sent(0.0)
+    state.pending_prefill_tokens, state.kv_cache_tokens = 9_000.0, 9_200
+    loads.report_pending_prefill(state)
+    state.pending_prefill_tokens = 0.0
+    loads.report_pending_prefill(state)
     assert peers.readings == [
         ("i-0", RunnerLoad(1, 9_000, 9_200)),
         ("i-0", RunnerLoad(1, 0, 9_200)),
     ]
 
 
-def test_a_prompt_that_is_read_for_long_is_told_of_again():
+def test_report_of_a_long_prefill_is_repeated():
     loads, peers, state = exchange()
-    state.note_sent(0.0)
-    state.reading = 9_000.0
-    loads.note_reading(state)
-    peers.time = READING_TOLD_AGAIN_S / 2
-    loads.tell_again()
+    state.record_sent(0.0)
+    state.pending_prefill_tokens = 9_000.0
+    loads.report_pending_prefill(state)
+    peers.time = REPORT_INTERVAL_S / 2
+    loads.repeat_reports()
     assert len(peers.readings) == 1
-    peers.time = READING_TOLD_AGAIN_S * 1.1
-    loads.tell_again()
+    peers.time = REPORT_INTERVAL_S * 1.1
+    loads.repeat_reports()
     assert peers.readings == [("i-0", RunnerLoad(1, 9_000, 0))] * 2
-    state.reading = 0.0
-    loads.note_reading(state)
+    state.pending_prefill_tokens = 0.0
+    loads.report_pending_prefill(state)
     peers.time *= 3
-    loads.tell_again()
+    loads.repeat_reports()
     assert len(peers.readings) == 3
 
 
-def test_short_prompts_are_told_once_they_add_up():
+def test_short_prompts_are_broadcast_once_they_add_up():
     loads, peers, state = exchange()
-    step = TOLD_AT_ONCE_TOKENS * 0.4
+    step = BROADCAST_THRESHOLD_TOKENS * 0.4
     for _ in range(6):
-        state.reading += step
-        loads.note_reading(state)
+        state.pending_prefill_tokens += step
+        loads.report_pending_prefill(state)
     assert len(peers.readings) == 2
 
 
-def test_what_others_tell_is_added_up_and_what_the_dead_told_is_not():
+def test_only_loads_of_live_routers_are_summed():
     loads, peers, state = exchange()
     peers.records = [
         record("b", loads={"i-0": RunnerLoad(2, 3_000, 4_000)}),
         record("c", loads={"i-0": RunnerLoad(1, 500, 600), "i-9": RunnerLoad(1, 1, 1)}),
     ]
-    loads.take_records()
-    assert (state.elsewhere, state.reading_elsewhere, state.held_elsewhere) == (3, 3_500, 4_600)
+    loads.update_from_records()
+    assert (state.other_requests, state.other_prefill_tokens, state.other_kv_cache_tokens) == (
+        3,
+        3_500,
+        4_600,
+    )
     peers.records = peers.records[1:]
-    loads.take_reading("i-0")
-    loads.take_reading("i-9")
+    loads.mark_outdated("i-0")
+    loads.mark_outdated("i-9")
     loads.refresh()
-    assert (state.elsewhere, state.reading_elsewhere, state.held_elsewhere) == (1, 500, 600)
+    assert (state.other_requests, state.other_prefill_tokens, state.other_kv_cache_tokens) == (
+        1,
+        500,
+        600,
+    )
 
 
-def test_a_router_tells_only_of_runners_that_work_for_it():
+def test_own_loads_contain_only_runners_with_requests():
     loads, _peers, state = exchange()
     assert loads.own_loads() == {}
-    state.note_sent(0.0)
+    state.record_sent(0.0)
     assert loads.own_loads() == {"i-0": RunnerLoad(1, 0, 0)}
 
 
-def test_sums_are_made_once_for_many_readings_told():
+def test_many_reports_cause_one_recomputation():
     loads, peers, _state = exchange()
     peers.asked = 0
     live = peers.live
@@ -90,7 +102,7 @@
 
     peers.live = counted
     for _ in range(50):
-        loads.take_reading("i-0")
+        loads.mark_outdated("i-0")
     loads.refresh()
     loads.refresh()
     assert peers.asked == 1
--- a/tests/router/test_overload.py
+++ b/tests/router/test_overload.py
@@ -2,10 +2,10 @@
 
 import pytest
 
-from martenrun.router.decisions import DEFAULTS
 from martenrun.router.overload import OverloadGuard, WaitingPrompt
-from martenrun.router.reading_speed import LEAST_SAMPLES, LEAST_TOKENS, ReadingSpeed
+from martenrun.router.prefill_rate import MINIMUM_SAMPLES, MINIMUM_TOKENS, PrefillRate
 from martenrun.router.route_table import RouteTable
+from martenrun.router.tuning import DEFAULTS
 
 from .builders import configuration, route
 
@@ -13,119 +13,119 @@
 OTHERS_SHARE = DEFAULTS.overload.others_share
 BEHIND_WAIT_SHARE = DEFAULTS.overload.behind_wait_share
 
-SPEED = 40_000.0
+PREFILL_TOKENS_PER_S = 40_000.0
 """Prefill rate of the runners in these tests, in tokens per second."""
 
 NOW = 100.0
 
 
-def read(speed, tokens=10_000.0, samples=LEAST_SAMPLES):
+def add_samples(rate, tokens=10_000.0, samples=MINIMUM_SAMPLES):
     for _ in range(samples):
-        speed.note(tokens, tokens / SPEED)
+        rate.add_sample(tokens, tokens / PREFILL_TOKENS_PER_S)
 
 
 @pytest.fixture
 def guard():
-    made = OverloadGuard()
-    read(made.speed)
-    return made
+    overload_guard = OverloadGuard()
+    add_samples(overload_guard.prefill_rate)
+    return overload_guard
 
 
 def prompt(wait_s, is_urgent=False, groups=("route a",)):
-    return WaitingPrompt(1.0, is_urgent, groups, wait_s * SPEED)
+    return WaitingPrompt(1.0, is_urgent, groups, wait_s * PREFILL_TOKENS_PER_S)
 
 
-def test_the_speed_is_what_was_measured_and_unknown_before():
-    speed = ReadingSpeed()
-    read(speed, samples=LEAST_SAMPLES - 1)
-    assert speed.seconds_for(1_000) is None
-    read(speed, samples=1)
-    assert speed.seconds_for(SPEED) == pytest.approx(1.0)
+def test_prefill_rate_is_unknown_before_enough_samples():
+    rate = PrefillRate()
+    add_samples(rate, samples=MINIMUM_SAMPLES - 1)
+    assert rate.seconds_for(1_000) is None
+    add_samples(rate, samples=1)
+    assert rate.seconds_for(PREFILL_TOKENS_PER_S) == pytest.approx(1.0)
 
 
-def test_short_readings_tell_nothing_of_the_speed():
-    speed = ReadingSpeed()
-    read(speed, tokens=LEAST_TOKENS - 1)
-    assert speed.seconds_for(1_000) is None
+def test_short_prefills_are_ignored():
+    rate = PrefillRate()
+    add_samples(rate, tokens=MINIMUM_TOKENS - 1)
+    assert rate.seconds_for(1_000) is None
 
 
-def test_the_speed_follows_runners_that_become_slower():
-    speed = ReadingSpeed()
-    read(speed)
+def test_prefill_rate_adapts_to_slower_runners():
+    rate = PrefillRate()
+    add_samples(rate)
     for _ in range(200):
-        speed.note(10_000, 1.0)
-    assert speed.seconds_for(10_000) == pytest.approx(1.0, rel=0.05)
+        rate.add_sample(10_000, 1.0)
+    assert rate.seconds_for(10_000) == pytest.approx(1.0, rel=0.05)
 
 
-def test_nothing_is_refused_while_the_speed_is_unknown():
-    assert OverloadGuard().takes(WaitingPrompt(0.1, False, (), 1e9), NOW)
+def test_all_prompts_are_admitted_while_the_prefill_rate_is_unknown():
+    assert OverloadGuard().admits(WaitingPrompt(0.1, False, (), 1e9), NOW)
 
 
-def test_less_urgent_prompts_are_held_back_first(guard):
-    assert guard.takes(prompt(OTHERS_SHARE - 0.01), NOW)
-    assert not guard.takes(prompt(OTHERS_SHARE + 0.01), NOW)
-    assert guard.takes(prompt(OTHERS_SHARE + 0.01, is_urgent=True), NOW)
-    assert not guard.takes(prompt(URGENT_SHARE + 0.01, is_urgent=True), NOW)
+def test_less_urgent_prompts_are_shed_first(guard):
+    assert guard.admits(prompt(OTHERS_SHARE - 0.01), NOW)
+    assert not guard.admits(prompt(OTHERS_SHARE + 0.01), NOW)
+    assert guard.admits(prompt(OTHERS_SHARE + 0.01, is_urgent=True), NOW)
+    assert not guard.admits(prompt(URGENT_SHARE + 0.01, is_urgent=True), NOW)
 
 
-def ask(guard, group, asked, taken, now=NOW):
-    for number in range(asked):
-        guard.note_asked((group,), now)
-        if number < taken:
-            guard.note_taken((group,), now)
+def count_requests(guard, group, requested, admitted, now=NOW):
+    for number in range(requested):
+        guard.record_demand((group,), now)
+        if number < admitted:
+            guard.record_admitted((group,), now)
 
 
-def test_a_kind_or_tenant_of_which_far_fewer_are_taken_goes_before_the_urgent(guard):
-    ask(guard, "route b", asked=20, taken=20)
-    ask(guard, "tenant t", asked=10, taken=2)
+def test_underserved_route_or_tenant_may_wait_longer_than_urgent_prompts(guard):
+    count_requests(guard, "route b", requested=20, admitted=20)
+    count_requests(guard, "tenant t", requested=10, admitted=2)
     busy = OTHERS_SHARE + 0.1
-    assert not guard.takes(prompt(busy, groups=("route b",)), NOW)
-    assert guard.takes(prompt(busy, groups=("route b", "tenant t")), NOW)
-    assert guard.takes(prompt(BEHIND_WAIT_SHARE - 0.1, groups=("tenant t",)), NOW)
-    assert not guard.takes(prompt(BEHIND_WAIT_SHARE + 0.1, groups=("tenant t",)), NOW)
+    assert not guard.admits(prompt(busy, groups=("route b",)), NOW)
+    assert guard.admits(prompt(busy, groups=("route b", "tenant t")), NOW)
+    assert guard.admits(prompt(BEHIND_WAIT_SHARE - 0.1, groups=("tenant t",)), NOW)
+    assert not guard.admits(prompt(BEHIND_WAIT_SHARE + 0.1, groups=("tenant t",)), NOW)
 
 
-def test_few_requests_prove_nothing_and_old_ones_are_forgotten(guard):
-    ask(guard, "route b", asked=20, taken=20)
-    ask(guard, "tenant few", asked=2, taken=0)
-    ask(guard, "tenant t", asked=10, taken=0)
+def test_groups_with_few_or_old_requests_are_not_underserved(guard):
+    count_requests(guard, "route b", requested=20, admitted=20)
+    count_requests(guard, "tenant few", requested=2, admitted=0)
+    count_requests(guard, "tenant t", requested=10, admitted=0)
     busy = prompt(OTHERS_SHARE + 0.1, groups=("tenant t",))
-    assert not guard.takes(prompt(OTHERS_SHARE + 0.1, groups=("tenant few",)), NOW)
-    assert guard.takes(busy, NOW)
-    assert not guard.takes(busy, NOW + 20.0)
+    assert not guard.admits(prompt(OTHERS_SHARE + 0.1, groups=("tenant few",)), NOW)
+    assert guard.admits(busy, NOW)
+    assert not guard.admits(busy, NOW + 20.0)
 
 
-def play(guard, seconds, urgent_per_s, others_per_s):
+def simulate(guard, seconds, urgent_per_s, others_per_s):
     """Offer prompts of 0.1 s of prefill to one runner; return the admitted shares by route."""
     backlog_s = 0.0
-    asked = {"route a": 0, "route b": 0}
-    taken = {"route a": 0, "route b": 0}
+    requested = {"route a": 0, "route b": 0}
+    admitted = {"route a": 0, "route b": 0}
     for step in range(seconds * 100):
         now = NOW + step / 100
         backlog_s = max(0.0, backlog_s - 0.01)
         for group, per_s in (("route a", urgent_per_s), ("route b", others_per_s)):
             if step % (100 // per_s):
                 continue
-            asked[group] += 1
-            guard.note_asked((group,), now)
-            if guard.takes(prompt(backlog_s, group == "route a", (group,)), now):
-                guard.note_taken((group,), now)
-                taken[group] += 1
+            requested[group] += 1
+            guard.record_demand((group,), now)
+            if guard.admits(prompt(backlog_s, group == "route a", (group,)), now):
+                guard.record_admitted((group,), now)
+                admitted[group] += 1
                 backlog_s += 0.1
-    return taken["route a"] / asked["route a"], taken["route b"] / asked["route b"]
+    return admitted["route a"] / requested["route a"], admitted["route b"] / requested["route b"]
 
 
 @pytest.mark.parametrize(("urgent_per_s", "others_per_s"), [(10, 10), (20, 5), (25, 25), (50, 1)])
-def test_no_kind_starves_however_busy_the_service_is(guard, urgent_per_s, others_per_s):
+def test_no_route_starves_under_overload(guard, urgent_per_s, others_per_s):
     """Every route is guaranteed at least a quarter of the average admitted share."""
-    urgent, others = play(guard, 60, urgent_per_s, others_per_s)
+    urgent, others = simulate(guard, 60, urgent_per_s, others_per_s)
     common = (urgent * urgent_per_s + others * others_per_s) / (urgent_per_s + others_per_s)
     assert others >= 0.25 * common
     assert urgent >= 0.9 * others
 
 
-def test_a_service_that_keeps_up_takes_everything(guard):
-    assert play(guard, 20, 4, 4) == (1.0, 1.0)
+def test_service_without_overload_admits_all_prompts(guard):
+    assert simulate(guard, 20, 4, 4) == (1.0, 1.0)
 
 
 def test_only_the_most_urgent_routes_of_a_service_are_urgent():
--- a/tests/router/test_request_quota.py
+++ b/tests/router/test_request_quota.py
@@ -98,7 +98,7 @@
 @pytest.mark.parametrize(("verdict", "counted"), [(YES, 1), (OVER, 0)])
 def test_what_is_over_the_limit_is_no_demand_that_others_wait_behind(verdict, counted, monkeypatch):
     asked = []
-    monkeypatch.setattr(OverloadGuard, "note_asked", lambda _self, *group: asked.append(group))
+    monkeypatch.setattr(OverloadGuard, "record_demand", lambda _self, *group: asked.append(group))
     play([verdict], [GOOD])
     assert len(asked) == counted
 
--- a/tests/router/test_runner_limit_fleet.py
+++ b/tests/router/test_runner_limit_fleet.py
@@ -151,7 +151,7 @@
     assert fleet.limited[isolated].runner_limits.limit(INSTANCE) is None
 
 
-def test_joining_router_is_told_of_the_limit():
+def test_joining_router_learns_of_the_limit():
     fleet = limited_fleet(8)
     fleet.run(KNOWN_WITHIN_S + 3)
     fleet.restart(fleet.addresses[:1], 1.0)
--- a/tests/router/test_runner_limit_table.py
+++ b/tests/router/test_runner_limit_table.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from martenrun.router.limit_messages import LimitNews, LimitRecord
+from martenrun.router.limit_messages import LimitRecord, LimitUpdate
 from martenrun.router.messages import AdvertisedLimit
 from martenrun.router.peer_messages import decode, encode
 from martenrun.router.runner_limits import (
@@ -22,28 +22,28 @@
 
 def limits_with(requests_per_s, at=1.0):
     limits = RunnerLimits()
-    limits.note_advertised("i-1", AdvertisedLimit(requests_per_s, str(requests_per_s)), at)
+    limits.record_advertised("i-1", AdvertisedLimit(requests_per_s, str(requests_per_s)), at)
     return limits
 
 
-def test_later_answer_replaces_the_limit():
+def test_later_response_replaces_the_limit():
     limits = limits_with(2.0)
-    limits.note_advertised("i-1", AdvertisedLimit(1.0, "1"), 2.0)
+    limits.record_advertised("i-1", AdvertisedLimit(1.0, "1"), 2.0)
     assert limits.limit("i-1").requests_per_s == 1.0 and limits.limit("i-2") is None
 
 
 def test_invalid_limit_changes_nothing():
     limits = limits_with(2.0)
-    limits.note_advertised("i-1", AdvertisedLimit(None, "nan"), 2.0)
-    limits.note_advertised("i-2", AdvertisedLimit(None, ""), 2.0)
+    limits.record_advertised("i-1", AdvertisedLimit(None, "nan"), 2.0)
+    limits.record_advertised("i-2", AdvertisedLimit(None, ""), 2.0)
     assert limits.limit("i-1").requests_per_s == 2.0 and len(limits) == 1
 
 
-def test_answer_to_an_earlier_request_does_not_end_the_limit():
+def test_response_to_an_earlier_request_does_not_end_the_limit():
     limits = limits_with(2.0, at=5.0)
-    limits.note_absent("i-1", 4.9, 6.0)
+    limits.record_absent("i-1", 4.9, 6.0)
     assert limits.limit("i-1") is not None
-    limits.note_absent("i-1", 5.1, 6.0)
+    limits.record_absent("i-1", 5.1, 6.0)
     assert limits.limit("i-1").requests_per_s == 2.0 * RECOVERY_FACTOR
 
 
@@ -53,7 +53,7 @@
     while limits.limit("i-1") is not None:
         rate = limits.limit("i-1").requests_per_s
         now += 0.1
-        limits.note_absent("i-1", now - 0.05, now)
+        limits.record_absent("i-1", now - 0.05, now)
         left = limits.limit("i-1")
         if left is None or left.requests_per_s != rate:
             changes.append(now)
@@ -70,8 +70,8 @@
 
 def test_advertised_limit_during_recovery_resets_recovery():
     limits = limits_with(2.0, at=5.0)
-    limits.note_absent("i-1", 5.1, 6.0)
-    limits.note_advertised("i-1", AdvertisedLimit(2.0, "2"), 6.1)
+    limits.record_absent("i-1", 5.1, 6.0)
+    limits.record_advertised("i-1", AdvertisedLimit(2.0, "2"), 6.1)
     limit = limits.limit("i-1")
     assert limit.requests_per_s == 2.0 and limit.recovery_steps == 0
 
@@ -84,90 +84,91 @@
     assert limit.burst_units >= 1
 
 
-def deliver(news, now, limits=None):
+def deliver(update, now, limits=None):
     """Deliver an encoded update to a router's limits and return them."""
     limits = RunnerLimits() if limits is None else limits
-    limits.take(decode(encode(news)), now)
+    limits.merge(decode(encode(update)), now)
     return limits
 
 
-def limit_news(per_s, version=1, steps=0, changed_ago_ms=0):
-    return LimitNews([LimitRecord("i-1", version, per_s, steps, changed_ago_ms, 0)])
+def limit_update(per_s, version=1, steps=0, changed_ago_ms=0):
+    return LimitUpdate([LimitRecord("i-1", version, per_s, steps, changed_ago_ms, 0)])
 
 
-def test_change_is_told_at_once_and_repeated():
+def test_change_is_broadcast_at_once_and_repeated():
     sent = []
     limits = RunnerLimits(sent.append)
-    limits.note_advertised("i-1", AdvertisedLimit(1.0, "1"), 1.0)
+    limits.record_advertised("i-1", AdvertisedLimit(1.0, "1"), 1.0)
     assert len(sent) == 1
     for tenth in range(100):
-        limits.tell_again(1.0 + tenth / 10)
+        limits.repeat_broadcasts(1.0 + tenth / 10)
     assert len(sent) == 1 + CHANGE_REPEATS
 
 
-def test_limit_is_told_again_only_by_routers_with_a_confirming_answer():
+def test_limit_is_broadcast_again_only_after_a_confirming_response():
     """Guards against updates without a confirming response keeping a limit alive."""
     sent = []
     one, other = RunnerLimits(sent.append), RunnerLimits(sent.append)
-    other.take(limit_news(1.0), 1.0)
+    other.merge(limit_update(1.0), 1.0)
     for tenth in range(100):
-        other.tell_again(1.0 + tenth / 10)
+        other.repeat_broadcasts(1.0 + tenth / 10)
     assert sent == []
-    one.note_advertised("i-1", AdvertisedLimit(1.0, "1"), 1.0)
+    one.record_advertised("i-1", AdvertisedLimit(1.0, "1"), 1.0)
     for tenth in range(100):
-        one.tell_again(1.0 + tenth / 10)
+        one.repeat_broadcasts(1.0 + tenth / 10)
     del sent[:]
-    one.note_advertised("i-1", AdvertisedLimit(1.0, "1"), 20.0)
-    one.tell_again(20.1)
+    one.record_advertised("i-1", AdvertisedLimit(1.0, "1"), 20.0)
+    one.repeat_broadcasts(20.1)
     assert len(sent) == 1
     deliver(sent[0], 20.2, other)
     assert other.limit("i-1").confirmed_at == pytest.approx(20.1)
 
 
 def test_higher_version_wins_then_stricter_limit():
-    limits = deliver(limit_news(2.0, version=3), 1.0)
-    assert deliver(limit_news(5.0, version=2), 1.0, limits).limit("i-1").requests_per_s == 2.0
-    assert deliver(limit_news(3.0, version=3), 1.0, limits).limit("i-1").requests_per_s == 2.0
-    assert deliver(limit_news(1.0, version=3), 1.0, limits).limit("i-1").requests_per_s == 1.0
+    limits = deliver(limit_update(2.0, version=3), 1.0)
+    assert deliver(limit_update(5.0, version=2), 1.0, limits).limit("i-1").requests_per_s == 2.0
+    assert deliver(limit_update(3.0, version=3), 1.0, limits).limit("i-1").requests_per_s == 2.0
+    assert deliver(limit_update(1.0, version=3), 1.0, limits).limit("i-1").requests_per_s == 1.0
     assert (
-        deliver(limit_news(8.0, version=4, steps=1), 1.0, limits).limit("i-1").requests_per_s == 8.0
+        deliver(limit_update(8.0, version=4, steps=1), 1.0, limits).limit("i-1").requests_per_s
+        == 8.0
     )
-    ended = deliver(limit_news(64.0, version=5, steps=RECOVERY_STEPS), 1.0, limits)
+    ended = deliver(limit_update(64.0, version=5, steps=RECOVERY_STEPS), 1.0, limits)
     assert ended.limit("i-1") is None
-    assert deliver(limit_news(1.0, version=4), 1.0, limits).limit("i-1") is None
+    assert deliver(limit_update(1.0, version=4), 1.0, limits).limit("i-1") is None
 
 
-def test_answer_to_a_request_older_than_a_received_change_is_ignored():
-    limits = deliver(limit_news(1.0, changed_ago_ms=500), 10.0)
-    limits.note_absent("i-1", 9.4, 10.0)
+def test_response_to_a_request_older_than_a_received_change_is_ignored():
+    limits = deliver(limit_update(1.0, changed_ago_ms=500), 10.0)
+    limits.record_absent("i-1", 9.4, 10.0)
     assert limits.limit("i-1").recovery_steps == 0
-    limits.note_absent("i-1", 9.6, 10.0)
+    limits.record_absent("i-1", 9.6, 10.0)
     assert limits.limit("i-1").recovery_steps == 1
 
 
-def test_router_without_answers_probes_periodically():
+def test_router_without_responses_probes_periodically():
     """Guards against a partitioned router never using a recovered runner again."""
     limits = limits_with(1.0, at=0.0)
     probes = [now for now in range(1, 200) if limits.allow_probe("i-1", float(now))]
     assert 4 <= len(probes) <= 10 and probes[0] >= PROBE_AFTER_S[0]
 
 
-def test_news_of_many_limits_fits_in_datagrams():
+def test_updates_of_many_limits_fit_in_datagrams():
     """Guards against updates that exceed the maximum datagram size with many limits."""
     sent = []
     limits = RunnerLimits(sent.append)
     for number in range(2_000):
-        limits.note_advertised(f"i-{number:012x}~01234", AdvertisedLimit(1.0, "1"), 1.0)
+        limits.record_advertised(f"i-{number:012x}~01234", AdvertisedLimit(1.0, "1"), 1.0)
     del sent[:]
-    limits.tell_again(2.0)
-    assert sum(len(news.records) for news in sent) == 2_000
-    assert all(len(encode(news)) < 60_000 for news in [*sent, limits.newcomer_news(2.0)])
+    limits.repeat_broadcasts(2.0)
+    assert sum(len(update.records) for update in sent) == 2_000
+    assert all(len(encode(update)) < 60_000 for update in [*sent, limits.new_router_update(2.0)])
 
 
-def test_newly_discovered_router_is_told_of_limits():
+def test_new_router_receives_limits():
     limits = limits_with(1.0)
-    assert RunnerLimits().newcomer_news(1.0) is None
-    assert deliver(limits.newcomer_news(1.0), 1.0).limit("i-1").requests_per_s == 1.0
+    assert RunnerLimits().new_router_update(1.0) is None
+    assert deliver(limits.new_router_update(1.0), 1.0).limit("i-1").requests_per_s == 1.0
 
 
 def test_limit_of_an_unlisted_runner_expires():
--- a/tests/router/test_runner_limits.py
+++ b/tests/router/test_runner_limits.py
@@ -41,7 +41,7 @@
         self._numbers = itertools.count()
         self._stopped = threading.Event()
         self._pool = ThreadPoolExecutor(64)
-        self.answers = []
+        self.results = []
         self._thread = threading.Thread(target=self._send_calls, args=(per_s,), daemon=True)
         self._thread.start()
 
@@ -53,11 +53,11 @@
         router = self._rng.choice(self._deployment.routers)
         began = time.monotonic()
         try:
-            answer = self._deployment.ask("/once/x", f"limit-{began}-{number}", router)
-            status, retry_after = answer.status, answer.headers.get("Retry-After")
+            response = self._deployment.ask("/once/x", f"limit-{began}-{number}", router)
+            status, retry_after = response.status, response.headers.get("Retry-After")
         except (urllib3.exceptions.HTTPError, OSError):
             status, retry_after = 0, None
-        self.answers.append((began, status, time.monotonic() - began, retry_after))
+        self.results.append((began, status, time.monotonic() - began, retry_after))
 
     def stop(self):
         self._stopped.set()
@@ -95,7 +95,7 @@
         those runners, and the calls made while the bound holds.
     """
     callers = Callers(deployment, CALLS_PER_S)
-    deployment.wait(lambda: len(callers.answers) >= CALLS_PER_S)
+    deployment.wait(lambda: len(callers.results) >= CALLS_PER_S)
     by_arrivals = sorted(deployment.runners, key=lambda runner: -len(runner.arrivals))
     limited = by_arrivals[:count]
     for runner in limited:
@@ -105,7 +105,7 @@
     deployment.wait(lambda: time.monotonic() > advertised_at + lasts_s, limit_s=lasts_s + 5)
     callers.stop()
     since = advertised_at + KNOWN_WITHIN_S
-    return limited, [answer for answer in callers.answers if answer[0] >= since]
+    return limited, [result for result in callers.results if result[0] >= since]
 
 
 def assert_limit_holds(runner):
--- a/tests/router/test_runner_lives.py
+++ b/tests/router/test_runner_restarts.py
@@ -6,17 +6,17 @@
 from martenrun.router.knowledge import RunnerDirectory
 from martenrun.router.messages import RouteKind, StoredObject
 from martenrun.router.peer_messages import SilenceNews, WeightsNews
-from martenrun.router.runner_life import life_key
+from martenrun.router.prefilled_parts import PrefilledParts
+from martenrun.router.runner_instance import instance_key
 from martenrun.router.runner_pool import RunnerPool
-from martenrun.router.seen_parts import SeenParts
-from martenrun.router.silence import take_silence
-from martenrun.router.weights_news import take_weights_news
+from martenrun.router.unresponsive_runners import record_unresponsive
+from martenrun.router.weights_updates import apply_weights_update
 
 from .builders import route, state
 from .fakes import FakeLoop
 from .test_broken_entries import GOOD
 from .test_forwarding import FULL, Played
-from .test_forwarding import GOOD as GOOD_ANSWER
+from .test_forwarding import GOOD as GOOD_RESPONSE
 
 BORN = 1_774_121_905_851
 
@@ -26,7 +26,7 @@
     return DIALECT.read_runner(StoredObject("i-1", 1, {**GOOD, "born": born, **changes}))
 
 
-class Listed:
+class KnownRunners:
     """The runners that a router knows and their state."""
 
     def __init__(self):
@@ -41,77 +41,76 @@
 
 
 @pytest.mark.parametrize("later", [BORN + 1, BORN + 60_000, BORN - 5_000], ids=str)
-def test_a_drained_runner_that_starts_again_is_ready(later):
+def test_restarted_runner_is_not_draining(later):
     """Covers clocks set back: the newer entry is determined by the store's revisions."""
-    listed = Listed()
-    listed.put(entry(state="draining"))
-    listed.put(entry(state="ready"))
-    assert [runner.is_draining for runner in listed.runners.runners.values()] == [True]
-    listed.put(entry(later))
-    assert [runner.is_draining for runner in listed.runners.runners.values()] == [False]
-
-
-def test_nothing_is_believed_of_the_new_start():
-    listed = Listed()
-    before = listed.put(entry())
-    before.reading = 5_000.0
-    before.note_sent(100.0)
-    before.learn_weights("m", 7)
+    known = KnownRunners()
+    known.put(entry(state="draining"))
+    known.put(entry(state="ready"))
+    assert [runner.is_draining for runner in known.runners.runners.values()] == [True]
+    known.put(entry(later))
+    assert [runner.is_draining for runner in known.runners.runners.values()] == [False]
+
+
+def test_new_instance_has_no_state_of_the_previous_one():
+    known = KnownRunners()
+    before = known.put(entry())
+    before.pending_prefill_tokens = 5_000.0
+    before.record_sent(100.0)
+    before.record_weights("m", 7)
     before.loading_until = before.full_until = 900.0
-    before.note_failure(100.0, 9.0)
-    after = listed.put(entry(BORN + 1, models=[{"name": "m", "version": 2}]))
+    before.record_failure(100.0, 9.0)
+    after = known.put(entry(BORN + 1, models=[{"name": "m", "version": 2}]))
     assert after is not before
     assert (after.load, after.backlog_tokens, after.weights_version("m")) == (0, 0.0, 2)
     assert not after.is_avoided(100.0)
-    assert listed.runners.has_ended(before.runner) and not listed.runners.has_ended(after.runner)
+    assert known.runners.has_ended(before.runner) and not known.runners.has_ended(after.runner)
 
 
-def test_late_news_of_the_earlier_start_changes_nothing():
-    listed = Listed()
-    before = listed.put(entry())
-    after = listed.put(entry(BORN + 1))
+def test_late_updates_of_an_earlier_instance_are_ignored():
+    known = KnownRunners()
+    before = known.put(entry())
+    after = known.put(entry(BORN + 1))
     for instance in (before.runner.instance, "i-1"):
-        take_silence(listed, SilenceNews("10.0.0.2:7", instance), 100.0)
-        take_weights_news(listed, WeightsNews([instance], "m", 9, True))
+        record_unresponsive(known, SilenceNews("10.0.0.2:7", instance), 100.0)
+        apply_weights_update(known, WeightsNews([instance], "m", 9, True))
     assert after.weights_version("m") == 2 and not after.is_avoided(100.0)
 
 
-def test_parts_kept_by_the_earlier_start_are_not_looked_for_at_the_later_one():
-    seen = SeenParts()
-    seen.note(entry().instance, b"part", 100.0)
-    assert seen.is_at(entry().instance, b"part", 100.1)
-    assert not seen.is_at(entry(BORN + 1).instance, b"part", 100.1)
+def test_cached_parts_do_not_carry_over_to_a_new_instance():
+    parts = PrefilledParts()
+    parts.record_prefill(entry().instance, b"part", 100.0)
+    assert parts.is_cached_at(entry().instance, b"part", 100.1)
+    assert not parts.is_cached_at(entry(BORN + 1).instance, b"part", 100.1)
 
 
-def test_an_entry_that_is_gone_ends_whichever_start_it_was_of():
-    listed = Listed()
-    listed.put(entry())
-    listed.put(entry(BORN + 1))
-    listed.runners.remove("i-1")
-    assert not listed.runners.runners
+def test_removed_entry_removes_the_runner_of_any_instance():
+    known = KnownRunners()
+    known.put(entry())
+    known.put(entry(BORN + 1))
+    known.runners.remove("i-1")
+    assert not known.runners.runners
 
 
-def test_requests_and_orders_name_the_runner_by_its_id():
+def test_instance_key_differs_from_the_runner_name():
     assert entry().instance != "i-1" == entry().name
-    assert life_key("i-1", None) == "i-1"
+    assert instance_key("i-1", None) == "i-1"
 
 
-def test_a_request_at_a_runner_that_started_again_goes_on_elsewhere_at_once():
+def test_request_at_a_restarted_runner_is_retried_at_once():
     """Guards against a long wait on the connection of a runner that crashed while unreachable."""
     played = Played(states=[state("i-0~1", name="i-0")])
     played.world.runners.put(played.states[0].runner)
     assert played.pool.sent == ["i-0~1"]
     played.states[:] = [state("i-0~2", name="i-0")]
     played.world.runners.put(played.states[0].runner)
-    played.pool.script = [GOOD_ANSWER]
+    played.pool.script = [GOOD_RESPONSE]
     played.forwarding.leave_ended_runner()
     played.run(0.1)
     assert played.pool.sent == ["i-0~1", "i-0~2"]
     assert played.exchange.answers[0][0] == 200
 
 
-def test_a_request_that_must_not_run_twice_is_not_sent_again_there():
-
+def test_unsafe_request_at_a_restarted_runner_is_not_retried():
     played = Played(states=[state("i-0~1", name="i-0")], the_route=route(kind=RouteKind.UNSAFE))
     played.world.runners.put(played.states[0].runner)
     played.states[:] = [state("i-0~2", name="i-0")]
@@ -122,7 +121,7 @@
     assert played.exchange.answers[0][0] == 502
 
 
-def test_a_runner_that_is_only_full_is_not_taken_for_one_that_ended():
+def test_full_runner_does_not_count_as_restarted():
     played = Played([FULL], states=[state("i-0~1", name="i-0")])
     played.world.runners.put(played.states[0].runner)
     played.forwarding.leave_ended_runner()
--- a/tests/router/test_suspension.py
+++ b/tests/router/test_suspension.py
@@ -82,9 +82,9 @@
 def test_a_lease_that_ended_meanwhile_is_not_held():
     loop = FakeLoop()
     lease = Lease(loop, FakeStore(loop), DIALECT, "weights", "r#1", 3.0)
-    lease.pursue(0)
+    lease.acquire_or_renew(0)
     loop.run_until(loop.time + 0.1)
-    lease.pursue(0)
+    lease.acquire_or_renew(0)
     loop.run_until(loop.time + 0.1)
     assert lease.is_held()
     loop.time += SUSPENDED_S
@@ -110,9 +110,9 @@
 
 def test_repeats_of_before_count_no_longer_than_their_window():
     budget = RetryBudget(bounds(budget_slack=1.5, budget_ratio=0.0), 0.0)
-    budget.note_repeat(100.0)
-    assert not budget.may_repeat(101.0, 1)
-    assert budget.may_repeat(111.0 + SUSPENDED_S, 1)
+    budget.record_retry(100.0)
+    assert not budget.may_retry(101.0, 1)
+    assert budget.may_retry(111.0 + SUSPENDED_S, 1)
 
 
 def test_a_request_that_waited_for_a_runner_is_not_sent_after_its_deadline():
--- a/tests/router/test_decisions.py
+++ b/tests/router/test_tuning.py
@@ -4,26 +4,31 @@
 import pytest
 
 from martenrun.errors import SettingsError
-from martenrun.router.decisions import DEFAULTS, Decisions, load_decisions, read_decisions
+from martenrun.router.tuning import (
+    DEFAULTS,
+    TuningParameters,
+    load_tuning_parameters,
+    read_tuning_parameters,
+)
 
 
-def test_every_figure_tells_its_unit_and_origin():
-    for group in attrs.fields(Decisions):
+def test_every_parameter_has_a_unit_and_an_origin():
+    for group in attrs.fields(TuningParameters):
         for field in attrs.fields(group.type):
             assert field.metadata["unit"] and field.metadata["origin"], field.name
 
 
-def test_a_file_overrides_single_figures(tmp_path):
+def test_file_overrides_single_parameters(tmp_path):
     path = tmp_path / "decisions.toml"
     path.write_text("[roll]\nruns_end_s = 1\n[overload]\nothers_share = 0.5\n")
-    made = load_decisions(path)
-    assert (made.roll.runs_end_s, made.overload.others_share) == (1.0, 0.5)
-    assert made.placement == DEFAULTS.placement
-    assert load_decisions(tmp_path / "missing.toml") == DEFAULTS
+    tuning = load_tuning_parameters(path)
+    assert (tuning.roll.runs_end_s, tuning.overload.others_share) == (1.0, 0.5)
+    assert tuning.placement == DEFAULTS.placement
+    assert load_tuning_parameters(tmp_path / "missing.toml") == DEFAULTS
 
 
 @pytest.mark.parametrize(
-    ("table", "fault"),
+    ("table", "error"),
     [
         ({"rolls": {}}, "rolls: unknown group"),
         ({"roll": 3}, "roll: is not a table"),
@@ -35,17 +40,17 @@
         ({"placement": {"fetched_share": float("nan")}}, "placement.fetched_share"),
     ],
 )
-def test_faulty_figures_are_named(table, fault):
+def test_invalid_overrides_are_reported(table, error):
     with pytest.raises(SettingsError) as raised:
-        read_decisions(table)
-    assert fault in raised.value.message
+        read_tuning_parameters(table)
+    assert error in raised.value.message
 
 
-def test_every_fault_is_named_at_once_and_an_unreadable_file_too(tmp_path):
+def test_all_errors_are_reported_and_an_unreadable_file_is_an_error(tmp_path):
     with pytest.raises(SettingsError) as raised:
-        read_decisions({"roll": {"a": 1, "b": 2}})
+        read_tuning_parameters({"roll": {"a": 1, "b": 2}})
     assert "roll.a" in raised.value.message and "roll.b" in raised.value.message
     path = tmp_path / "decisions.toml"
     path.write_text("[roll")
     with pytest.raises(SettingsError):
-        load_decisions(path)
+        load_tuning_parameters(path)
--- a/tests/router/test_zone_loads.py
+++ b/tests/router/test_zone_loads.py
@@ -7,19 +7,19 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from martenrun.router.loads import LoadExchange
+from martenrun.router.load_exchange import LoadExchange
 from martenrun.router.peer_messages import RunnerLoad, ZoneLoads
 from martenrun.router.runner_pool import RunnerPool
 from martenrun.router.zone_loads import (
-    BELIEVED_S,
-    LEAST_CHANGE_TOKENS,
-    NOTHING,
-    TELL_S,
-    TOLD_AGAIN_S,
-    HeardSums,
-    ToldSums,
-    added_up,
-    zone_tellers,
+    MINIMUM_CHANGE_TOKENS,
+    NO_LOAD,
+    REPEAT_INTERVAL_S,
+    SEND_INTERVAL_S,
+    VALIDITY_S,
+    ReceivedLoads,
+    SentLoads,
+    sum_loads,
+    zone_reporters,
 )
 
 from .builders import runner
@@ -28,56 +28,56 @@
 from .test_peers import record
 
 PROMPT_TOKENS = 9_000
-READING_S = 0.24
+PREFILL_S = 0.24
 PROMPTS_PER_S = 1.0
 """Long prompts that one router sends per second."""
 
 
-def test_the_strong_come_first_and_the_leaving_never():
+def test_reporter_has_high_capacity_and_is_not_leaving():
     records = [
         record("a", zone="x", capacity=0.5),
         record("b", zone="x", capacity=2.0),
         record("c", zone="x", capacity=2.0, is_leaving=True),
         record("d", zone="y", capacity=0.5),
     ]
-    assert zone_tellers(records) == {"x": "b", "y": "d"}
+    assert zone_reporters(records) == {"x": "b", "y": "d"}
 
 
-def test_only_what_changed_is_told_and_what_did_not_is_told_again():
-    told = ToldSums()
+def test_changed_sums_are_sent_at_once_and_others_repeated():
+    sent = SentLoads()
     sums = {"i-0": RunnerLoad(1, PROMPT_TOKENS, 0), "i-1": RunnerLoad(1, 10, 0)}
-    assert set(told.due(sums, 10.0)) == {"i-0", "i-1"}
-    assert told.due(sums, 10.0 + TELL_S) == {}
-    sums["i-0"] = RunnerLoad(1, PROMPT_TOKENS - LEAST_CHANGE_TOKENS, 0)
-    assert set(told.due(sums, 10.0 + 2 * TELL_S)) == {"i-0"}
-    assert set(told.due(sums, 10.0 + TOLD_AGAIN_S)) == {"i-1"}
+    assert set(sent.take_due(sums, 10.0)) == {"i-0", "i-1"}
+    assert sent.take_due(sums, 10.0 + SEND_INTERVAL_S) == {}
+    sums["i-0"] = RunnerLoad(1, PROMPT_TOKENS - MINIMUM_CHANGE_TOKENS, 0)
+    assert set(sent.take_due(sums, 10.0 + 2 * SEND_INTERVAL_S)) == {"i-0"}
+    assert set(sent.take_due(sums, 10.0 + REPEAT_INTERVAL_S)) == {"i-1"}
 
 
-def test_that_a_runner_has_nothing_more_to_read_is_told_at_once_and_once_again():
-    told = ToldSums()
-    told.due({"i-0": RunnerLoad(1, PROMPT_TOKENS, 0)}, 10.0)
-    assert told.due({}, 10.1) == {"i-0": NOTHING}
-    assert told.due({}, 10.1 + TOLD_AGAIN_S) == {"i-0": NOTHING}
-    assert told.due({}, 20.0) == {}
+def test_drop_to_zero_is_sent_at_once_and_repeated_once():
+    sent = SentLoads()
+    sent.take_due({"i-0": RunnerLoad(1, PROMPT_TOKENS, 0)}, 10.0)
+    assert sent.take_due({}, 10.1) == {"i-0": NO_LOAD}
+    assert sent.take_due({}, 10.1 + REPEAT_INTERVAL_S) == {"i-0": NO_LOAD}
+    assert sent.take_due({}, 20.0) == {}
 
 
-def test_what_is_not_told_again_ends_by_itself():
-    heard = HeardSums()
-    heard.take("x", {"i-0": RunnerLoad(1, PROMPT_TOKENS, 0)}, 10.0)
-    heard.take("y", {"i-0": RunnerLoad(2, 500, 0)}, 11.0)
-    assert heard.at("i-0", 11.0) == RunnerLoad(3, PROMPT_TOKENS + 500, 0)
-    assert heard.at("i-0", 10.1 + BELIEVED_S) == RunnerLoad(2, 500, 0)
-    heard.forget_old(11.1 + BELIEVED_S)
-    assert heard.at("i-0", 11.0) == NOTHING
+def test_received_sums_expire():
+    received = ReceivedLoads()
+    received.merge("x", {"i-0": RunnerLoad(1, PROMPT_TOKENS, 0)}, 10.0)
+    received.merge("y", {"i-0": RunnerLoad(2, 500, 0)}, 11.0)
+    assert received.total_load("i-0", 11.0) == RunnerLoad(3, PROMPT_TOKENS + 500, 0)
+    assert received.total_load("i-0", 10.1 + VALIDITY_S) == RunnerLoad(2, 500, 0)
+    received.remove_expired(11.1 + VALIDITY_S)
+    assert received.total_load("i-0", 11.0) == NO_LOAD
 
 
 @given(st.lists(st.dictionaries(st.sampled_from("abc"), st.integers(0, 9))))
-def test_sums_are_those_of_all_tables(tables):
+def test_sums_include_all_tables(tables):
     loads = [{name: RunnerLoad(n, n * 2, n * 3) for name, n in table.items()} for table in tables]
-    sums = added_up(loads)
+    sums = sum_loads(loads)
     for name in "abc":
         total = sum(table.get(name, 0) for table in tables)
-        assert sums.get(name, NOTHING) == RunnerLoad(total, total * 2, total * 3)
+        assert sums.get(name, NO_LOAD) == RunnerLoad(total, total * 2, total * 3)
 
 
 def exchange():
@@ -89,21 +89,23 @@
     return LoadExchange(pool, peers), peers, pool.state("i-0")
 
 
-def test_sums_of_another_zone_are_passed_on_once_and_the_own_zone_is_not_counted_twice():
+def test_sums_of_other_zones_are_forwarded_once_and_the_own_zone_is_counted_once():
     loads, peers, state = exchange()
     near = record("near", loads={"i-0": RunnerLoad(1, 100, 0)})
     far = record("far", zone="y", loads={"i-0": RunnerLoad(1, 7_000, 0)})
     peers.records = [near, far]
-    loads.take_records()
-    loads.take_sums(ZoneLoads({"y": {"i-0": RunnerLoad(2, 9_000, 0)}, "z": {"i-0": NOTHING}}))
+    loads.update_from_records()
+    loads.merge_zone_loads(
+        ZoneLoads({"y": {"i-0": RunnerLoad(2, 9_000, 0)}, "z": {"i-0": NO_LOAD}})
+    )
     loads.refresh()
     assert state.backlog_tokens == 9_100
-    loads.tell_sums()
-    passed_on = [news for addresses, news in peers.sums if addresses == ["near"]]
-    assert passed_on == [ZoneLoads({"y": {"i-0": RunnerLoad(2, 9_000, 0)}}, is_passed_on=True)]
+    loads.send_zone_loads()
+    forwarded = [update for addresses, update in peers.sums if addresses == ["near"]]
+    assert forwarded == [ZoneLoads({"y": {"i-0": RunnerLoad(2, 9_000, 0)}}, is_passed_on=True)]
     peers.sums.clear()
-    loads.take_sums(passed_on[0])
-    loads.tell_sums()
+    loads.merge_zone_loads(forwarded[0])
+    loads.send_zone_loads()
     assert [addresses for addresses, _ in peers.sums if addresses == ["near"]] == []
 
 
@@ -127,15 +129,15 @@
         pool.update({name: runner(name) for name in self.instances})
         loads = LoadExchange(pool, peers)
         peers._refresh = lambda own: setattr(own, "loads", loads.own_loads())
-        peers._on_records = loads.take_records
-        peers._on_reading = loads.take_reading
-        peers._on_sums = loads.take_sums
+        peers._on_records = loads.update_from_records
+        peers._on_reading = loads.mark_outdated
+        peers._on_sums = loads.merge_zone_loads
         self.exchanges[address] = loads
         self.pools[address] = pool
-        self._keep_telling(loads)
+        self._send_zone_loads(loads)
 
-    def _keep_telling(self, loads):
-        self.world.loop.call_later(loads.tell_sums(), lambda: self._keep_telling(loads))
+    def _send_zone_loads(self, loads):
+        self.world.loop.call_later(loads.send_zone_loads(), lambda: self._send_zone_loads(loads))
 
     def send_prompts(self, address):
         """Make a router send prompts from now on."""
@@ -144,15 +146,17 @@
 
     def _send_prompt(self, address):
         state = self.pools[address].state(self.world.rng.choice(self.instances))
-        state.note_sent(self.now())
-        self._read(address, state, PROMPT_TOKENS)
-        self.world.loop.call_later(READING_S, lambda: self._read(address, state, -PROMPT_TOKENS))
-        self.world.loop.call_later(READING_S, state.note_ended)
+        state.record_sent(self.now())
+        self._add_prefill(address, state, PROMPT_TOKENS)
+        self.world.loop.call_later(
+            PREFILL_S, lambda: self._add_prefill(address, state, -PROMPT_TOKENS)
+        )
+        self.world.loop.call_later(PREFILL_S, state.record_finished)
         self.send_prompts(address)
 
-    def _read(self, address, state, tokens):
-        state.reading += tokens
-        self.exchanges[address].note_reading(state)
+    def _add_prefill(self, address, state, tokens):
+        state.pending_prefill_tokens += tokens
+        self.exchanges[address].report_pending_prefill(state)
 
     def error_tokens(self):
         """Return the mean error of the backlogs of runners that routers know."""
@@ -160,12 +164,12 @@
         for address, loads in self.exchanges.items():
             loads.refresh()
             for name in self.instances:
-                true = sum(pool.state(name).reading for pool in self.pools.values())
+                true = sum(pool.state(name).pending_prefill_tokens for pool in self.pools.values())
                 errors.append(abs(self.pools[address].state(name).backlog_tokens - true))
         return sum(errors) / len(errors)
 
 
-def test_among_many_routers_backlogs_are_known_while_the_prompts_are_read():
+def test_backlogs_are_known_during_prefill_in_a_large_deployment():
     """Guards against placement by outdated backlogs.
 
     A late report is wrong twice: the prompt is missing during its prefill and counted after it.
@@ -181,5 +185,5 @@
     for _ in range(5):
         fleet.world.run(0.37)
         errors.append(fleet.error_tokens())
-    mean_backlog = 110 * PROMPTS_PER_S * READING_S * PROMPT_TOKENS / 20
+    mean_backlog = 110 * PROMPTS_PER_S * PREFILL_S * PROMPT_TOKENS / 20
     assert sum(errors) / len(errors) < 0.6 * mean_backlog
--- a/tests/router/unguarded_router.py
+++ b/tests/router/unguarded_router.py
@@ -48,7 +48,7 @@
     """Take a runner that starts again under its id for the one before."""
     from martenrun.platform import contents
 
-    contents.life_key = lambda name, _born_ms: name
+    contents.instance_key = lambda name, _born_ms: name
 
 
 def serve_no_new_connection():
