--- a/src/martenrun/router/runner_limits.py
+++ b/src/martenrun/router/runner_limits.py
@@ -1,8 +1,8 @@
-"""Rate limits that runners advertise in their answers, shared among all routers.
+"""Rate limits that runners advertise in their responses, shared among all routers.
 
-Routers tell each other of every change, with a monotonically increasing version and with ages.  A
-limit is lifted in steps so that a recovering runner does not receive the full load at once.  No
-I/O; callers pass in the time.
+Routers broadcast every change with a monotonically increasing version and with ages.  A limit is
+lifted in steps so that a recovering runner does not receive the full load at once.  No I/O or
+clock.
 """
 
 import random
@@ -10,7 +10,7 @@
 
 import attrs
 
-from martenrun.router.limit_messages import LimitNews, LimitRecord
+from martenrun.router.limit_messages import LimitRecord, LimitUpdate
 from martenrun.router.log import log_event, log_trouble
 from martenrun.router.messages import AdvertisedLimit
 from martenrun.router.quotas.limit import RateLimit
@@ -22,7 +22,7 @@
 """
 
 MINIMUM_REQUESTS_PER_S = 0.1
-"""Lower bound of the enforced rate, so that answers can still show that a runner has recovered."""
+"""Lower bound of the enforced rate, so that responses can show that a runner has recovered."""
 
 MAXIMUM_REQUESTS_PER_S = 1e6
 
@@ -38,24 +38,24 @@
 RECOVERY_STEP_S = 0.5
 """Minimum time between two recovery steps, in seconds."""
 
-TOLD_AGAIN_S = 1.0
-"""Minimum interval at which a confirmed limit is told again, in seconds."""
+BROADCAST_INTERVAL_S = 1.0
+"""Minimum interval at which a confirmed limit is broadcast again, in seconds."""
 
-CHANGE_TOLD_AGAIN_S = 0.5
-"""Interval at which a change is told again, in seconds."""
+CHANGE_BROADCAST_INTERVAL_S = 0.5
+"""Interval at which a change is broadcast again, in seconds."""
 
 CHANGE_REPEATS = 3
-"""Number of times a change is told again, in case datagrams are lost."""
+"""Number of times a change is broadcast again, in case datagrams are lost."""
 
 RECORDS_PER_DATAGRAM = 500
 """Maximum number of limits in one datagram."""
 
 PROBE_AFTER_S = (20.0, 40.0)
-"""Range of the time without an answer after which a router that reaches no account owner sends a
+"""Range of the time without a response after which a router that reaches no account owner sends a
 probe, in seconds."""
 
 RECOVERY_PROBE_S = 1.0
-"""Time without an answer before a probe while the limit is being lifted, in seconds."""
+"""Time without a response before a probe while the limit is being lifted, in seconds."""
 
 
 @attrs.define
@@ -66,13 +66,13 @@
         version: the limit with the higher version takes precedence.
         requests_per_s: rate limit shared by all routers.
         changed_at: monotonic time at which the limit last changed, in seconds.
-        confirmed_at: monotonic time of the latest answer that confirms it, in seconds.
+        confirmed_at: monotonic time of the latest response that confirms it, in seconds.
         recovery_steps: number of increases since the runner stopped advertising a limit.
-        observed_at: monotonic time of the latest confirming answer to this router, in seconds.
-        told_at: monotonic time at which all routers were last told, in seconds.
-        repeats_left: number of times a change is still to be told again.
+        observed_at: monotonic time of the latest confirming response to this router, in seconds.
+        broadcast_at: monotonic time of the last broadcast, in seconds.
+        repeats_left: number of broadcasts left to repeat a change.
         probed_at: monotonic time of the last request sent without a grant, in seconds.
-        probe_after_s: time without an answer after which a probe may be sent, in seconds.
+        probe_after_s: time without a response after which a probe may be sent, in seconds.
     """
 
     version: int
@@ -81,7 +81,7 @@
     confirmed_at: float
     recovery_steps: int = 0
     observed_at: float = 0.0
-    told_at: float = 0.0
+    broadcast_at: float = 0.0
     repeats_left: int = 0
     probed_at: float = 0.0
     probe_after_s: float = 0.0
@@ -113,19 +113,19 @@
     """Rate limits by runner instance.
 
     Args:
-        tell: sends news to all routers.
+        broadcast: broadcasts an update to all routers.
         on_changed: called with the instance whose limit has changed.
         count: counts an event, by outcome.
     """
 
     def __init__(
         self,
-        tell: Callable[[LimitNews], None] = lambda _news: None,
+        broadcast: Callable[[LimitUpdate], None] = lambda _update: None,
         on_changed: Callable[[str], None] = lambda _instance: None,
         count: Callable[[str], None] = lambda _outcome: None,
         rng: random.Random | None = None,
     ) -> None:
-        self._tell = tell
+        self._broadcast = broadcast
         self._on_changed = on_changed
         self.count = count
         self._rng = rng or random.Random()
@@ -139,10 +139,10 @@
         found = self._limits.get(instance)
         return None if found is None or found.is_over else found
 
-    # Answers
+    # Responses of runners
 
-    def note_advertised(self, instance: str, advertised: AdvertisedLimit, now: float) -> None:
-        """Record the limit that an answer advertises; an invalid one changes nothing."""
+    def record_advertised(self, instance: str, advertised: AdvertisedLimit, now: float) -> None:
+        """Record the limit that a response advertises; an invalid one changes nothing."""
         rate = advertised.requests_per_s
         if rate is None:
             self.count("unreadable")
@@ -155,11 +155,11 @@
         version = 1 if known is None else known.version + 1
         self._change(instance, RunnerLimit(version, rate, now, now), "named", now)
 
-    def note_absent(self, instance: str, sent_at: float, now: float) -> None:
-        """Record that an answer advertises no limit, which may start the next recovery step.
+    def record_absent(self, instance: str, sent_at: float, now: float) -> None:
+        """Record that a response advertises no limit, which may start the next recovery step.
 
         Args:
-            sent_at: monotonic time at which the request was sent, in seconds.  The answer to a
+            sent_at: monotonic time at which the request was sent, in seconds.  The response to a
                 request sent before the limit was advertised may predate the limit.
         """
         known = self.limit(instance)
@@ -173,24 +173,24 @@
         self._change(instance, raised, "ended" if raised.is_over else "raised", now)
 
     def _change(self, instance: str, limit: RunnerLimit, outcome: str, now: float) -> None:
-        limit.observed_at = limit.told_at = now
+        limit.observed_at = limit.broadcast_at = now
         limit.repeats_left = CHANGE_REPEATS
         self._put(instance, limit, outcome, "answer", now)
-        self._tell(LimitNews([limit.record(instance, now)]))
+        self._broadcast(LimitUpdate([limit.record(instance, now)]))
 
     # Other routers
 
-    def take(self, news: LimitNews, now: float) -> None:
-        """Merge news from another router."""
-        for record in news.records:
-            self._merge(record, now)
+    def merge(self, update: LimitUpdate, now: float) -> None:
+        """Merge an update from another router."""
+        for record in update.records:
+            self._merge_record(record, now)
 
-    def _merge(self, record: LimitRecord, now: float) -> None:
+    def _merge_record(self, record: LimitRecord, now: float) -> None:
         known = self._limits.get(record.instance)
         confirmed_at = now - record.confirmed_ago_ms / 1000
         if known is not None and _precedence(known) == _precedence(record):
             known.confirmed_at = max(known.confirmed_at, confirmed_at)
-            known.told_at = now
+            known.broadcast_at = now
         elif known is None or _precedence(known) < _precedence(record):
             received = RunnerLimit(
                 record.version,
@@ -198,37 +198,37 @@
                 now - record.changed_ago_ms / 1000,
                 confirmed_at,
                 record.recovery_steps,
-                told_at=now,
+                broadcast_at=now,
             )
             if known is not None or not received.is_over:
                 self._put(record.instance, received, "heard", "router", now)
 
-    def newcomer_news(self, now: float) -> LimitNews | None:
-        """Return the news for a newly discovered router; None if there are no limits."""
+    def new_router_update(self, now: float) -> LimitUpdate | None:
+        """Return an update for a new router, or None if there are no limits."""
         if not len(self):
             return None
         active = [item for item in self._limits.items() if not item[1].is_over]
         records = [limit.record(name, now) for name, limit in active[-RECORDS_PER_DATAGRAM:]]
-        return LimitNews(records)
+        return LimitUpdate(records)
 
-    def tell_again(self, now: float) -> None:
-        """Tell again of recent changes and of limits confirmed by answers to this router."""
+    def repeat_broadcasts(self, now: float) -> None:
+        """Repeat broadcasts of recent changes and of limits that this router saw confirmed."""
         due = []
         for instance, limit in self._limits.items():
             is_change = limit.repeats_left > 0
-            interval_s = CHANGE_TOLD_AGAIN_S if is_change else TOLD_AGAIN_S
-            is_confirmed = not limit.is_over and limit.observed_at > limit.told_at
-            if now - limit.told_at >= interval_s and (is_change or is_confirmed):
-                limit.told_at = now
+            interval_s = CHANGE_BROADCAST_INTERVAL_S if is_change else BROADCAST_INTERVAL_S
+            is_confirmed = not limit.is_over and limit.observed_at > limit.broadcast_at
+            if now - limit.broadcast_at >= interval_s and (is_change or is_confirmed):
+                limit.broadcast_at = now
                 limit.repeats_left = max(0, limit.repeats_left - 1)
                 due.append(limit.record(instance, now))
         for first in range(0, len(due), RECORDS_PER_DATAGRAM):
-            self._tell(LimitNews(due[first : first + RECORDS_PER_DATAGRAM]))
+            self._broadcast(LimitUpdate(due[first : first + RECORDS_PER_DATAGRAM]))
 
     # Probes
 
     def allow_probe(self, instance: str, now: float) -> bool:
-        """Whether one request may be sent although no account owner answers.
+        """Return whether a request may be sent although no account owner responds.
 
         Without probes a partitioned router could not detect that a limit was lifted.
         """
--- a/src/martenrun/router/zone_loads.py
+++ b/src/martenrun/router/zone_loads.py
@@ -1,10 +1,11 @@
-"""Loads of runners between the zones of a large deployment: sums, told by one router of each zone.
-
-Among very many routers those of one zone tell each other of every long prompt at once, and one
-of them, the zone's teller, tells the tellers of the other zones the sums over its zone; these pass
-them on to their own zones.  A router then hears some datagrams a second instead of one for each
-prompt that any router sends or sees read, and little crosses zones.  Two routers that both take
-themselves for the teller tell the same sums; where there is none, what was told ends by itself.
+"""Loads of runners between the zones of a large deployment, as sums sent by one router per zone.
+
+In a large deployment routers broadcast long prompts within their own zone only.  One router of each
+zone, the zone reporter, sends the sums over its zone to the reporters of the other zones, which
+forward them within their zones.  A router then receives a few datagrams per second instead of one
+for each start and end of a prefill anywhere, and there is little traffic between zones.  If two
+routers consider themselves the reporter, they send the same sums.  Without a reporter, the sums
+that it sent expire.
 """
 
 from collections.abc import Iterable, Mapping
@@ -12,30 +13,34 @@
 from martenrun.router.peer_messages import RouterRecord, RunnerLoad
 from martenrun.router.readers import strong_first
 
-TELL_S = 0.05
-"""How often a zone's teller tells what has changed, in seconds.
+SEND_INTERVAL_S = 0.05
+"""Interval at which a zone reporter sends changed sums, in seconds.
 
-A long prompt is read in 0.2 s.  With 195 routers (virtual time) the mean error of the backlogs that
-are known is 0.36 of the mean backlog, with 0.1 s 0.48, by records alone 0.64.
+The prefill of a long prompt takes 0.2 s.  With 195 routers in virtual time the mean error of the
+known backlogs is 0.36 of the mean backlog; with an interval of 0.1 s it is 0.48, and with gossiped
+records alone 0.64.
 """
 
-TOLD_AGAIN_S = 1.0
-"""After so many seconds a sum that has not changed is told again, for datagrams that were lost."""
+REPEAT_INTERVAL_S = 1.0
+"""Interval at which an unchanged sum is sent again in case a datagram was lost, in seconds."""
+
+VALIDITY_S = 2.5
+"""Time after which a received sum expires unless it is received again, in seconds."""
 
-BELIEVED_S = 2.5
-"""For how long a sum is believed that is not told again, in seconds."""
+MINIMUM_CHANGE_TOKENS = 1_000
+"""Change of a runner's pending prefill that is sent to other zones, in tokens."""
 
-LEAST_CHANGE_TOKENS = 1_000
-"""Change of the tokens to be read at a runner that is told, in tokens."""
+NO_LOAD = RunnerLoad(0, 0, 0)
 
-NOTHING = RunnerLoad(0, 0, 0)
+LoadsByZone = dict[str, dict[str, RunnerLoad]]
+"""Sums of loads by zone and runner instance."""
 
-ZoneSums = dict[str, dict[str, RunnerLoad]]
-"""Sums of loads by zone and runner's instance."""
 
+def zone_reporters(records: Iterable[RouterRecord]) -> dict[str, str]:
+    """Return the address of the reporter of each zone.
 
-def zone_tellers(records: Iterable[RouterRecord]) -> dict[str, str]:
-    """Return the address of each zone's teller: of its strong routers the first by hashing."""
+    It is the first by rendezvous hashing of the zone's routers with high capacity.
+    """
     by_zone: dict[str, list[RouterRecord]] = {}
     for record in records:
         if not record.is_leaving:
@@ -46,73 +51,75 @@
     }
 
 
-def added_up(loads: Iterable[Mapping[str, RunnerLoad]]) -> dict[str, RunnerLoad]:
-    """Return the sums of what several routers, or zones, have given each runner to do."""
+def sum_loads(loads: Iterable[Mapping[str, RunnerLoad]]) -> dict[str, RunnerLoad]:
+    """Return the sum over several routers or zones of the load on each runner."""
     sums: dict[str, RunnerLoad] = {}
     for table in loads:
         for instance, load in table.items():
-            sums[instance] = plus(sums.get(instance, NOTHING), load)
+            sums[instance] = add_loads(sums.get(instance, NO_LOAD), load)
     return sums
 
 
-def plus(one: RunnerLoad, other: RunnerLoad) -> RunnerLoad:
-    """Return two loads together."""
+def add_loads(first: RunnerLoad, second: RunnerLoad) -> RunnerLoad:
+    """Return the sum of two loads."""
     return RunnerLoad(
-        one.requests + other.requests,
-        one.tokens_to_read + other.tokens_to_read,
-        one.tokens_held + other.tokens_held,
+        first.requests + second.requests,
+        first.tokens_to_read + second.tokens_to_read,
+        first.tokens_held + second.tokens_held,
     )
 
 
-class ToldSums:
-    """What a teller told of its own zone last; says what is to be told now."""
+class SentLoads:
+    """The sums that a zone reporter sent last; selects those to send next."""
 
     def __init__(self) -> None:
-        self._told: dict[str, tuple[RunnerLoad, float]] = {}
-
-    def due(self, sums: Mapping[str, RunnerLoad], now: float) -> dict[str, RunnerLoad]:
-        """Return the sums that have changed, or were told long ago, and take them for told."""
-        news = {}
-        for instance in sums.keys() | self._told.keys():
-            load = sums.get(instance, NOTHING)
-            told, told_at = self._told.get(instance, (NOTHING, 0.0))
-            change = abs(load.tokens_to_read - told.tokens_to_read)
-            if change >= LEAST_CHANGE_TOKENS or now - told_at >= TOLD_AGAIN_S:
-                news[instance] = load
-                self._note(instance, load, told, now)
-        return news
-
-    def _note(self, instance: str, load: RunnerLoad, told: RunnerLoad, now: float) -> None:
-        """Remember what is told; that there is nothing any more is told twice."""
-        if load == told == NOTHING:
-            self._told.pop(instance, None)
+        self._sent: dict[str, tuple[RunnerLoad, float]] = {}
+
+    def take_due(self, sums: Mapping[str, RunnerLoad], now: float) -> dict[str, RunnerLoad]:
+        """Return the sums to send, changed or due for repetition, and record them as sent."""
+        updates = {}
+        for instance in sums.keys() | self._sent.keys():
+            load = sums.get(instance, NO_LOAD)
+            last_sent, sent_at = self._sent.get(instance, (NO_LOAD, 0.0))
+            change = abs(load.tokens_to_read - last_sent.tokens_to_read)
+            if change >= MINIMUM_CHANGE_TOKENS or now - sent_at >= REPEAT_INTERVAL_S:
+                updates[instance] = load
+                self._record_sent(instance, load, last_sent, now)
+        return updates
+
+    def _record_sent(
+        self, instance: str, load: RunnerLoad, last_sent: RunnerLoad, now: float
+    ) -> None:
+        """Record a sum as sent; a runner whose load has dropped to zero is reported twice."""
+        if load == last_sent == NO_LOAD:
+            self._sent.pop(instance, None)
         else:
-            self._told[instance] = (load, now)
+            self._sent[instance] = (load, now)
 
 
-class HeardSums:
-    """The sums of other zones, as last heard."""
+class ReceivedLoads:
+    """The sums last received from other zones."""
 
     def __init__(self) -> None:
-        self._heard: dict[str, dict[str, tuple[RunnerLoad, float]]] = {}
+        self._received: dict[str, dict[str, tuple[RunnerLoad, float]]] = {}
 
-    def take(self, zone: str, sums: Mapping[str, RunnerLoad], now: float) -> None:
-        """Take in sums over a zone."""
-        heard = self._heard.setdefault(zone, {})
+    def merge(self, zone: str, sums: Mapping[str, RunnerLoad], now: float) -> None:
+        """Merge the sums of a zone."""
+        received = self._received.setdefault(zone, {})
         for instance, load in sums.items():
-            heard[instance] = (load, now)
-
-    def at(self, instance: str, now: float) -> RunnerLoad:
-        """Return what the other zones have given a runner to do, as far as it is known."""
-        total = NOTHING
-        for heard in self._heard.values():
-            load, heard_at = heard.get(instance, (NOTHING, now))
-            if now - heard_at <= BELIEVED_S:
-                total = plus(total, load)
+            received[instance] = (load, now)
+
+    def total_load(self, instance: str, now: float) -> RunnerLoad:
+        """Return the sum of the valid loads that other zones put on a runner."""
+        total = NO_LOAD
+        for received in self._received.values():
+            load, received_at = received.get(instance, (NO_LOAD, now))
+            if now - received_at <= VALIDITY_S:
+                total = add_loads(total, load)
         return total
 
-    def forget_old(self, now: float) -> None:
-        """Drop what is believed no longer."""
-        for heard in self._heard.values():
-            for instance in [key for key, (_, at) in heard.items() if now - at > BELIEVED_S]:
-                del heard[instance]
+    def remove_expired(self, now: float) -> None:
+        """Remove expired sums."""
+        for received in self._received.values():
+            for instance in [key for key, (_, at) in received.items() if now - at > VALIDITY_S]:
+                del received[instance]
--- a/tests/router/test_runner_limit_fleet.py
+++ b/tests/router/test_runner_limit_fleet.py
@@ -1,4 +1,4 @@
-"""Enforcement of one runner's rate limit by a fleet of routers under faults, in virtual time.
+"""Tests of the enforcement of a runner's rate limit by a fleet under failures, in virtual time.
 
 The bound applies to the arrivals from all routers, partitioned or not, in any window that starts
 after the limit must be known.
@@ -151,7 +151,7 @@
     assert fleet.limited[isolated].runner_limits.limit(INSTANCE) is None
 
 
-def test_joining_router_is_told_of_the_limit():
+def test_joining_router_learns_of_the_limit():
     fleet = limited_fleet(8)
     fleet.run(KNOWN_WITHIN_S + 3)
     fleet.restart(fleet.addresses[:1], 1.0)
