--- a/src/martenrun/net/__init__.py
+++ b/src/martenrun/net/__init__.py
@@ -1,1 +1,1 @@
-"""One selector loop on one thread, with TCP connections and HTTP/1.1 on both sides of it."""
+"""Network layer: a single-threaded selector loop, TCP streams, and HTTP/1.1 client and server."""
--- a/src/martenrun/net/client.py
+++ b/src/martenrun/net/client.py
@@ -1,4 +1,4 @@
-"""The HTTP/1.1 client side: one connection, one request at a time."""
+"""An HTTP/1.1 client connection that serves one request at a time."""
 
 from collections.abc import Callable
 from typing import Any, Protocol
@@ -10,41 +10,41 @@
 from martenrun.net.stream import Stream, open_stream
 
 CONNECT_TIMEOUT_S = 0.4
-"""How long a connection may take to come up, in seconds."""
+"""Timeout for establishing a connection, in seconds."""
 
 
 class AnswerReader(Protocol):
-    """What the answer to one request is reported to."""
+    """Receives the response to one request."""
 
     def on_sent(self) -> None:
-        """The connection is up: the request's bytes begin to leave."""
+        """Called when the connection is established, just before the request is sent."""
 
     def on_head(self, status: int, headers: Headers, length: int | None) -> None:
-        """An answer has begun."""
+        """Called with the head of the response."""
 
     def on_body(self, data: bytes) -> None:
-        """A part of the answer's body."""
+        """Called with a part of the response's body."""
 
     def on_complete(self) -> None:
-        """The answer is whole; the connection has been given back or closed."""
+        """Called after a complete response; the connection is already idle or closed."""
 
     def on_broken(self, was_sent: bool) -> None:
-        """The connection ended first; ``was_sent``: bytes of the request may have left."""
+        """Called if the connection fails; ``was_sent``: bytes of the request may have been sent."""
 
 
 class ClientConnection:
     """A connection to one address.
 
     Args:
-        loop: the loop it is served on.
+        loop: the loop that serves the connection.
         address: ``IP:port``.
-        on_idle: called when a whole answer leaves the connection fit for another request.
+        on_idle: called after a complete response if the connection can be reused.
         on_end: called once when the connection can no longer be used.
 
     Attributes:
-        was_kept: whether it has carried a whole answer and rested since.
-        idle_since: steady time from which it rests.
-        keep_alive_s: how long the other side lets it rest, in seconds, or None if not told.
+        was_kept_alive: whether the connection was kept open after an earlier response.
+        idle_since: monotonic time since which the connection is idle.
+        keep_alive_s: keep-alive timeout that the peer announced, in seconds, or None.
     """
 
     def __init__(
@@ -86,9 +86,9 @@
 
         Args:
             request: its bytes.
-            reader: told of the answer.
-            expected_id: a header field that the answer must carry to be this request's; whole
-                answers with another value belong to earlier requests and are passed over.
+            reader: receives the response.
+            expected_id: name and value of a header field that the response must carry; a response
+                with another value belongs to an earlier request and is skipped.
         """
         self._reader = reader
         self._expected_id = expected_id
@@ -99,26 +99,26 @@
             self._send_now()
 
     def pause(self, is_paused: bool) -> None:
-        """Stop or resume reading the answer."""
+        """Stop or resume reading the response."""
         if self._stream is not None:
             self._stream.pause(is_paused)
 
     def close(self) -> None:
-        """Close at once; the reader hears no more."""
+        """Close at once; the reader is not called again."""
         self._reader = None
         self._end()
 
-    # What the stream reports
+    # Stream events
 
     def on_connected(self) -> None:
-        """The connection is up."""
+        """Send the request, if there is one already."""
         self._is_connected = True
         self._stop_connect_timer()
         if self._reader is not None:
             self._send_now()
 
     def on_data(self, data: bytes) -> None:
-        """Parse what has arrived; bytes that nobody waits for end the connection."""
+        """Parse received bytes; close the connection if no response is expected."""
         if self._reader is None:
             self._end()
             return
@@ -131,7 +131,7 @@
             self._finish()
 
     def on_closed(self, is_clean: bool) -> None:
-        """The peer has ended the connection."""
+        """Complete a response that the close delimits; otherwise fail the request."""
         ends_answer = is_clean and self._is_until_close and not self._is_skipped
         if ends_answer and self._reader is not None:
             self._may_be_kept = False
@@ -141,24 +141,24 @@
             self._break()
 
     def on_drained(self) -> None:
-        """Requests are written whole; nothing waits for this."""
+        """Do nothing: a request is written in one piece."""
 
-    # What the parser reports
+    # Parser events
 
     def on_message_begin(self) -> None:
-        """An answer begins."""
+        """Reset the parsing state for a new response."""
         if self._was_answered:
-            # More than one whole answer: nothing further on this connection can be trusted.
+            # More than one complete response: further data on this connection cannot be trusted.
             self._may_be_kept = False
         self._headers = []
         self._is_skipped = self._was_answered
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """A header field."""
+        """Store a header field."""
         self._headers.append((name, value))
 
     def on_headers_complete(self) -> None:
-        """A head is complete."""
+        """Pass the head on; skip interim responses and responses to earlier requests."""
         status = self._parser.get_status_code()
         if self._was_answered or status < 200:
             self._is_skipped = True
@@ -177,17 +177,17 @@
             self._reader.on_head(status, self._headers, length)
 
     def on_body(self, data: bytes) -> None:
-        """A part of a body."""
+        """Pass a part of the body on."""
         if not self._is_skipped and not self._was_answered and self._reader is not None:
             self._reader.on_body(data)
 
     def on_message_complete(self) -> None:
-        """An answer is whole."""
+        """Note that the response is complete."""
         if not self._is_skipped:
             self._was_answered = True
 
     def _length(self, status: int) -> int | None:
-        """Return the answer's length, or None where chunks or the connection's end tell it."""
+        """Return the body's length, or None if chunks or the connection's close delimit it."""
         length = find_header(self._headers, b"content-length")
         if length is not None:
             return int(length)
@@ -206,7 +206,7 @@
         if self._reader is None or self._stream is None:
             return
         self._reader.on_sent()
-        # The reader may have given the request up in on_sent().
+        # The reader may have cancelled the request in on_sent().
         if self._reader is not None and self._stream is not None:
             self._stream.write(self._request)
 
--- a/src/martenrun/net/clock.py
+++ b/src/martenrun/net/clock.py
@@ -1,9 +1,9 @@
-"""The clock of all ages, deadlines, leases and beliefs: steady, and it goes on during suspension.
+"""The clock of the process: monotonic, and it includes the time for which the machine is suspended.
 
-``CLOCK_MONOTONIC`` stands still while a machine is suspended: a router that wakes up after four
-seconds would take its lease, its keys and its configuration to be four seconds younger than they
-are.  ``CLOCK_BOOTTIME`` counts that time.  Where a system has none, the steady clock has to do:
-there a suspended machine believes what it knew for as much longer as it was suspended.
+All ages, deadlines and leases are measured with it.  ``CLOCK_MONOTONIC`` stops during suspension:
+after four seconds of it, a router would take its lease, its keys and its configuration to be four
+seconds younger than they are.  ``CLOCK_BOOTTIME`` includes that time.  A system without it uses
+``CLOCK_MONOTONIC``; there a router trusts outdated state for as much longer as it was suspended.
 """
 
 import time
@@ -11,7 +11,7 @@
 
 
 def _steady_clock() -> Callable[[], float]:
-    """Return the clock that counts suspended time, or the steady one where there is none."""
+    """Return a clock that includes suspended time, or the monotonic one if there is none."""
     number = getattr(time, "CLOCK_BOOTTIME", None)
     if number is None:
         return time.monotonic
@@ -26,5 +26,5 @@
 
 
 def now() -> float:
-    """Return the time in seconds; only differences mean anything."""
+    """Return the monotonic time in seconds; only differences are meaningful."""
     return _read()
--- a/src/martenrun/net/http.py
+++ b/src/martenrun/net/http.py
@@ -1,4 +1,4 @@
-"""Typed HTTP/1.1 messages and what both sides of the router share about them."""
+"""Typed HTTP/1.1 messages, and helpers shared by the client and the server."""
 
 import attrs
 
@@ -20,10 +20,10 @@
         b"expect",
     }
 )
-"""Fields that concern one connection or the framing on it; never passed on (RFC 9110, 7.6.1)."""
+"""Hop-by-hop header fields, which are never forwarded (RFC 9110, section 7.6.1)."""
 
 STATUS_OK = 200
-"""Status of a good answer."""
+"""Status of a successful response."""
 
 REASONS = {
     200: b"OK",
@@ -40,19 +40,19 @@
     503: b"Service Unavailable",
     504: b"Gateway Timeout",
 }
-"""Reason phrases of the statuses that the router answers with itself."""
+"""Reason phrases of the statuses that the router sends itself."""
 
 
 @attrs.define(slots=True)
 class HttpRequest:
-    """A whole request.
+    """A complete request.
 
     Attributes:
-        method: as sent.
-        target: path and query, as sent.
+        method: as received.
+        target: path and query, as received.
         headers: all header fields.
         body: the decoded body.
-        received_at: steady time at which its head was complete, in seconds.
+        received_at: monotonic time at which the head was complete, in seconds.
     """
 
     method: bytes
@@ -62,25 +62,25 @@
     received_at: float
 
     def header(self, name: bytes) -> bytes | None:
-        """Return the first value of a field, whose name is given in lower case."""
+        """Return the first value of a header field; ``name`` must be in lower case."""
         return find_header(self.headers, name)
 
 
 @attrs.define(slots=True)
 class HttpAnswer:
-    """A whole answer."""
+    """A complete response."""
 
     status: int
     headers: Headers
     body: bytes
 
     def header(self, name: bytes) -> bytes | None:
-        """Return the first value of a field, whose name is given in lower case."""
+        """Return the first value of a header field; ``name`` must be in lower case."""
         return find_header(self.headers, name)
 
 
 def find_header(headers: Headers, name: bytes) -> bytes | None:
-    """Return the first value of a field, whose name is given in lower case."""
+    """Return the first value of a header field; ``name`` must be in lower case."""
     for field, value in headers:
         if field.lower() == name:
             return value
@@ -88,7 +88,7 @@
 
 
 def end_to_end(headers: Headers) -> Headers:
-    """Return the fields that travel on, without those that concern one connection."""
+    """Return the header fields to forward, without the hop-by-hop fields."""
     named: set[bytes] = set()
     for field, value in headers:
         if field.lower() == b"connection":
@@ -98,7 +98,7 @@
 
 
 def request_bytes(method: bytes, target: bytes, headers: Headers, body: bytes) -> bytes:
-    """Return a request with its length, ready to be sent."""
+    """Return the bytes of a request; Content-Length is added where a body is expected."""
     lines = [method + b" " + target + b" HTTP/1.1"]
     lines += [field + b": " + value for field, value in headers]
     if body or method not in (b"GET", b"HEAD", b"DELETE"):
@@ -107,7 +107,7 @@
 
 
 def answer_head(status: int, headers: Headers, framing: bytes, is_closing: bool) -> bytes:
-    """Return the head of an answer; ``framing`` is its length or transfer coding."""
+    """Return the head of a response; ``framing`` is its length or transfer encoding field."""
     lines = [b"HTTP/1.1 %d %s" % (status, REASONS.get(status, b"Status"))]
     lines += [field + b": " + value for field, value in headers]
     lines.append(framing)
--- a/src/martenrun/net/loop.py
+++ b/src/martenrun/net/loop.py
@@ -1,8 +1,8 @@
-"""The selector loop of a router process: readiness of sockets, timers, signals.
+"""The selector loop of a router process: socket readiness, timers and signals.
 
-Everything of the process runs on the thread that calls :meth:`Loop.run`.  Times are seconds of
-:mod:`martenrun.net.clock`.  The waits themselves do not count suspended time: a wait may end long
-after it was due, with or without events.
+Everything runs on the thread that calls :meth:`Loop.run`.  Times are seconds of
+:mod:`martenrun.net.clock`, which includes suspended time.  The timeout of a selector does not: a
+wait may return long after its timeout, with or without events.
 """
 
 import heapq
@@ -21,17 +21,17 @@
 WRITE = selectors.EVENT_WRITE
 
 LONGEST_WAIT_S = 1.0
-"""Longest time that the loop waits without any event, in seconds."""
+"""Maximum time to wait for events, in seconds."""
 
 OVERSLEPT_S = 0.05
-"""How much later than asked for a wait may end without a second look at the sockets, in seconds."""
+"""How late a wait may return before the sockets are polled a second time, in seconds."""
 
 COMPACT_TIMERS_AT = 512
-"""Number of cancelled timers from which the heap is built anew."""
+"""Number of cancelled timers above which the heap may be rebuilt without them."""
 
 
 class Timer:
-    """A call that is due once; see :meth:`Loop.call_later`."""
+    """A call that is made once at a given time; see :meth:`Loop.call_later`."""
 
     __slots__ = ("call", "due_at", "is_cancelled", "loop")
 
@@ -45,7 +45,7 @@
         return self.due_at < other.due_at
 
     def cancel(self) -> None:
-        """Never make the call; harmless if it has been made."""
+        """Cancel the call; has no effect after the call was made."""
         if not self.is_cancelled:
             self.is_cancelled = True
             self.call = _nothing
@@ -53,10 +53,10 @@
 
 
 class Loop:
-    """Waits for sockets, timers and signals and calls what was registered for them.
+    """Waits for sockets, timers and signals, and runs the callbacks registered for them.
 
     Attributes:
-        pacer: deals the machine's link out to the large writes of all streams.
+        pacer: shares the machine's link between the large writes of all streams.
     """
 
     def __init__(self) -> None:
@@ -72,25 +72,25 @@
 
     @staticmethod
     def now() -> float:
-        """Return the time, in seconds."""
+        """Return the monotonic time, in seconds."""
         return clock.now()
 
     @property
     def late_s(self) -> float:
-        """How long what is served now may have been ready already, in seconds.
+        """How long ago the events being handled may have become ready, in seconds.
 
-        That is much after a long call, or after the process or its machine stood still.
+        Large after a long callback, and after the process or its machine was suspended.
         """
         return clock.now() - self._ready_since
 
     def call_later(self, delay_s: float, call: Callable[[], None]) -> Timer:
-        """Make ``call`` once, ``delay_s`` seconds from now."""
+        """Schedule ``call`` to be made once, after ``delay_s`` seconds."""
         timer = Timer(self, clock.now() + delay_s, call)
         heapq.heappush(self._timers, timer)
         return timer
 
     def timer_cancelled(self) -> None:
-        """Count a cancelled timer; many of them are dropped at once."""
+        """Count a cancelled timer; cancelled timers are removed in batches."""
         self._cancelled += 1
         if self._cancelled > COMPACT_TIMERS_AT and self._cancelled * 2 > len(self._timers):
             self._timers = [timer for timer in self._timers if not timer.is_cancelled]
@@ -98,7 +98,7 @@
             self._cancelled = 0
 
     def watch(self, sock: socket.socket, events: int, call: Callable[[int], None]) -> None:
-        """Call ``call(ready events)`` whenever the socket is ready; ``events`` 0 ends that."""
+        """Register ``call(ready events)`` for a socket; ``events`` 0 unregisters it."""
         known = self._selector.get_map().get(sock.fileno())
         if not events:
             if known is not None:
@@ -109,30 +109,30 @@
             self._selector.modify(sock, events, call)
 
     def on_signal(self, number: int, call: Callable[[], None]) -> None:
-        """Make ``call`` on the loop each time the signal has come; main thread only."""
+        """Run ``call`` on the loop after each such signal; must be called on the main thread."""
         if not self._on_signal:
             self._open_wake_up()
         self._on_signal[number] = call
         signal.signal(number, lambda received, _frame: self._signals.append(received))
 
     def stop(self) -> None:
-        """Let :meth:`run` return after the current round."""
+        """Make :meth:`run` return after the current iteration."""
         self._is_running = False
 
     def run(self) -> None:
-        """Serve until :meth:`stop`."""
+        """Run the loop until :meth:`stop` is called."""
         self._is_running = True
         while self._is_running:
             self.run_once()
 
     def run_once(self) -> None:
-        """Wait for the next event or timer and serve what is due."""
+        """Wait for events or the next timer and handle what is due."""
         waits_from = clock.now()
         wait_s = self._wait_s(waits_from)
         events = self._selector.select(wait_s)
         if clock.now() - waits_from - wait_s > OVERSLEPT_S:
-            # A wait that was over before the process stood still tells nothing of what came then:
-            # looked at in the next round only, it would count as new.
+            # The wait may have timed out before the process was suspended.  Events that arrived
+            # during the suspension would then be found in the next iteration and count as new.
             events = self._selector.select(0.0)
         polled_at = clock.now()
         overslept_s = max(0.0, polled_at - waits_from - wait_s)
@@ -162,7 +162,7 @@
             _guarded(timer.call)
 
     def _open_wake_up(self) -> None:
-        """Open the pipe that a signal writes to, so that a wait ends at once."""
+        """Open the pipe that signal handlers write to, so that a signal ends a wait at once."""
         reader, writer = os.pipe()
         os.set_blocking(reader, False)
         os.set_blocking(writer, False)
@@ -182,7 +182,7 @@
 
 
 def _guarded(call: Callable[..., None], *arguments: Any) -> None:
-    """Make a call; a fault in one of them must not end the loop for all others."""
+    """Make a call; log its exception, so that one failing callback does not end the loop."""
     try:
         call(*arguments)
     except Exception as exc:
--- a/src/martenrun/net/pacing.py
+++ b/src/martenrun/net/pacing.py
@@ -1,8 +1,8 @@
-"""Keeps large writes from holding up small ones on a slow link.
+"""Keeps large writes from delaying small ones on a slow link.
 
-What a machine's link has taken leaves in order: an event of a stream that is written behind a long
-prompt waits until the prompt has left, 0.2 s for 110 KB at 5 Mbit/s.  So large writes leave in
-slices that together fill only a part of the link, and small ones pass between them.
+A link sends bytes in order: a stream event that is written after a long prompt waits until the
+prompt has been sent, 0.2 s for 110 KB at 5 Mbit/s.  Large writes are therefore sent in slices that
+together use only a part of the link, and small writes are sent between them.
 """
 
 import collections
@@ -12,27 +12,27 @@
 from martenrun.net import clock
 
 SMALL_WRITE_BYTES = 2_048
-"""Writes up to this size leave at once."""
+"""Writes up to this size, in bytes, are never delayed."""
 
 LINK_SHARE = 0.7
-"""Part of the link that large writes may fill."""
+"""Share of the link that large writes may use."""
 
 SLICE_S = 0.006
-"""How long a slice takes on the link, in seconds: what a small write waits at most for it."""
+"""Transmission time of a slice, in seconds: the longest that a small write waits for one."""
 
 LEAST_SLICE_BYTES = 4_096
-"""Smallest slice: smaller ones cost more wake-ups than they save."""
+"""Minimum size of a slice, in bytes; smaller ones cost more in wake-ups than they save."""
 
 LEAST_PAUSE_S = 0.001
-"""Shortest pause between two slices, in seconds."""
+"""Minimum pause between two slices, in seconds."""
 
 
 class Pacer:
-    """Deals a link out to the large writes of a process.
+    """Token bucket that shares a link between the large writes of a process.
 
     Args:
-        call_later: makes a call so many seconds later.
-        now: the steady clock, in seconds.
+        call_later: schedules a call after a delay in seconds.
+        now: the monotonic clock, in seconds.
     """
 
     def __init__(
@@ -51,16 +51,16 @@
 
     @property
     def has_waiting(self) -> bool:
-        """Whether writes wait for their turn."""
+        """Whether any writer is queued."""
         return bool(self._waiting)
 
     def set_link(self, bytes_per_s: float) -> None:
-        """Take in how much the machine's link carries, in bytes a second."""
+        """Set the capacity of the machine's link, in bytes per second."""
         self._rate = bytes_per_s * LINK_SHARE
         self._slice = max(LEAST_SLICE_BYTES, bytes_per_s * SLICE_S)
 
     def take(self, wanted: int) -> int:
-        """Return how many of so many bytes may leave now; 0: wait for the turn."""
+        """Return how many bytes of a write may be sent now; 0 if the writer must wait."""
         if self._rate == math.inf:
             return wanted
         self._fill()
@@ -74,7 +74,7 @@
         return wanted
 
     def wait(self, call: Callable[[], None]) -> None:
-        """Make a call once, when more may leave; those that wait take turns."""
+        """Call back once when more may be sent; queued writers take turns."""
         self._waiting.append(call)
         if len(self._waiting) == 1 and not self._is_serving:
             self._call_later(self._pause_s(), self._serve)
@@ -89,7 +89,7 @@
         return max(LEAST_PAUSE_S, (self._slice - self._budget) / self._rate)
 
     def _serve(self) -> None:
-        """Let the one that has waited longest send a slice."""
+        """Let the writer that has waited longest send a slice."""
         call = self._waiting.popleft()
         self._is_serving = True
         try:
--- a/src/martenrun/net/server.py
+++ b/src/martenrun/net/server.py
@@ -1,7 +1,7 @@
 """The HTTP/1.1 server of a router process.
 
-Whole requests are handed to a handler one at a time for each connection.  A caller's leaving is
-noticed while its request is served.  An answer that is given up never looks complete.
+Complete requests are passed to a handler, one at a time for each connection.  A caller's disconnect
+is detected while its request is served.  An aborted response never looks complete.
 """
 
 import collections
@@ -17,24 +17,24 @@
 from martenrun.net.stream import Stream, listen
 
 SWEEP_INTERVAL_S = 0.25
-"""How often connections are looked at for time-outs, in seconds."""
+"""Interval between two checks of the connections' timeouts, in seconds."""
 
 LINGER_S = 1.0
-"""How long a connection that was ended here may still be read from, in seconds."""
+"""How long to keep reading a connection that was shut down by this side, in seconds."""
 
 MAXIMUM_CONNECTIONS = 1_000
-"""Most connections of a server that is not told otherwise."""
+"""Default maximum number of connections of a server."""
 
 QUEUED_REQUESTS = 4
-"""Requests that may wait on one connection before it is no longer read."""
+"""Number of queued requests at which a connection is no longer read."""
 
 BODYLESS = frozenset({204, 304})
-"""Statuses of answers without a body."""
+"""Statuses of responses without a body."""
 
 
 @attrs.frozen
 class ServerLimits:
-    """What a caller may send, and how long it may take; sizes in bytes, times in seconds."""
+    """Limits on callers' requests: sizes in bytes, times in seconds."""
 
     maximum_header_bytes: int = 16_384
     maximum_body_bytes: int = 4_194_304
@@ -43,12 +43,12 @@
 
 
 class Exchange:
-    """One request and the answer to it.
+    """A request and its response.
 
     Attributes:
-        request: the whole request.
-        on_gone: set by the handler; called if the caller leaves before the answer's end.
-        on_drained: set by the handler; called when the caller has read enough again.
+        request: the complete request.
+        on_disconnect: set by the handler; called if the caller disconnects before the end.
+        on_drained: set by the handler; called when the caller has caught up with the response.
     """
 
     def __init__(self, connection: "ServerConnection", request: HttpRequest) -> None:
@@ -62,13 +62,13 @@
 
     @property
     def is_congested(self) -> bool:
-        """Whether the caller reads more slowly than it is written to."""
+        """Whether the caller reads more slowly than the response is written."""
         return self._connection.stream.is_congested
 
     def respond(
         self, status: int, headers: Headers, body: bytes = b"", is_closing: bool = False
     ) -> None:
-        """Send a whole answer."""
+        """Send a complete response."""
         if self.is_over or self.has_started:
             return
         self.has_started = True
@@ -80,7 +80,7 @@
         self._finish(closing)
 
     def start(self, status: int, headers: Headers, length: int | None) -> None:
-        """Begin an answer whose body follows; ``length`` None sends it in chunks."""
+        """Start a response whose body follows; without a ``length`` it is sent in chunks."""
         if self.is_over or self.has_started:
             return
         self.has_started = True
@@ -101,7 +101,7 @@
         self._connection.write(data)
 
     def end(self) -> None:
-        """End the answer as complete."""
+        """Complete the response."""
         if self.is_over:
             return
         if self._is_chunked:
@@ -109,7 +109,7 @@
         self._finish(self._connection.announced_close)
 
     def abort(self) -> None:
-        """Break the answer off; the caller sees that it is not complete."""
+        """Abort the response so that the caller can see that it is incomplete."""
         if not self.is_over:
             self.is_over = True
             self._connection.abort()
@@ -122,13 +122,13 @@
 STOOD_STILL_S = 0.5
 """How late a request must be read for its waiting time to count, in seconds.
 
-Its deadline runs from when it came: a machine that was suspended, or a process that stood still,
-must not give a runner time that its caller no longer has.  Shorter delays are those of a busy loop.
+Its deadline runs from its arrival: after a suspension of the machine or of the process, a runner
+must not get time that the caller no longer has.  Shorter delays are those of a busy loop.
 """
 
 
 class ServerConnection:
-    """A caller's connection: parses its requests and serves them in order."""
+    """A caller's connection: parses requests and serves them in order."""
 
     def __init__(self, server: "Server", sock: socket.socket) -> None:
         self._server = server
@@ -153,13 +153,13 @@
         """Whether a request is being received or served."""
         return self._current is not None or bool(self._waiting) or self._is_in_message
 
-    # What the stream reports
+    # Stream events
 
     def on_connected(self) -> None:
-        """Never comes: the connection was accepted."""
+        """Do nothing: an accepted connection is already established."""
 
     def on_data(self, data: bytes) -> None:
-        """Parse what has arrived."""
+        """Parse received bytes."""
         if self._is_refused or self.ended_at is not None:
             return
         if not self._is_in_message:
@@ -175,7 +175,7 @@
         self._serve_next()
 
     def on_closed(self, is_clean: bool) -> None:
-        """The caller has left."""
+        """Handle the caller's disconnect."""
         self._server.forget(self)
         current = self._current
         self._waiting.clear()
@@ -185,14 +185,14 @@
                 current.on_gone()
 
     def on_drained(self) -> None:
-        """The caller has read enough again."""
+        """Notify the current exchange that the caller has caught up."""
         if self._current is not None and self._current.on_drained is not None:
             self._current.on_drained()
 
-    # What the parser reports
+    # Parser events
 
     def on_message_begin(self) -> None:
-        """A request begins."""
+        """Reset the parsing state for a new request."""
         self._is_in_message = True
         self._target = b""
         self._headers = []
@@ -200,15 +200,15 @@
         self._head_at = 0.0
 
     def on_url(self, url: bytes) -> None:
-        """A part of the target."""
+        """Append a part of the request target."""
         self._target += url
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """A header field."""
+        """Store a header field."""
         self._headers.append((name, value))
 
     def on_headers_complete(self) -> None:
-        """The head is complete."""
+        """Check the announced size of the body and reply to ``Expect: 100-continue``."""
         late_s = self._server.loop.late_s
         stood_still_s = late_s if late_s > STOOD_STILL_S else 0.0
         self._head_at = self._server.loop.now() - stood_still_s
@@ -221,7 +221,7 @@
                 self.stream.write(b"HTTP/1.1 100 Continue\r\n\r\n")
 
     def on_body(self, data: bytes) -> None:
-        """A part of the body."""
+        """Append a part of the body and check its size."""
         if self._is_refused:
             return
         self._body += data
@@ -229,7 +229,7 @@
             self._refuse(413)
 
     def on_message_complete(self) -> None:
-        """A request is whole."""
+        """Queue the complete request."""
         self._is_in_message = False
         self._header_bytes = 0
         if self._is_refused:
@@ -241,14 +241,14 @@
             HttpRequest(method, self._target, self._headers, bytes(self._body), self._head_at)
         )
 
-    # What exchanges and the server ask for
+    # Used by exchanges and the server
 
     def write(self, data: bytes) -> None:
         """Send bytes to the caller."""
         self.stream.write(data)
 
     def closes_next(self) -> bool:
-        """Whether the answer that begins now is the connection's last; remembers it."""
+        """Decide whether the connection closes after the response that is being started."""
         self.announced_close = (
             self.announced_close
             or self._server.is_draining
@@ -257,7 +257,7 @@
         return self.announced_close
 
     def answered(self, is_closing: bool) -> None:
-        """Go on with the next request, or end the connection."""
+        """Continue with the next request, or close the connection."""
         self._current = None
         self.rested_since = self._server.loop.now()
         if is_closing:
@@ -266,7 +266,7 @@
             self._server.loop.call_later(0, self._serve_next)
 
     def end(self) -> None:
-        """End the connection from this side once all is sent."""
+        """Shut the connection down once all responses are sent."""
         if self.ended_at is None and not self.stream.is_closed:
             self.ended_at = self._server.loop.now()
             self._waiting.clear()
@@ -274,13 +274,13 @@
             self.stream.finish()
 
     def abort(self) -> None:
-        """Break the connection off."""
+        """Close the connection at once."""
         self._current = None
         self._server.forget(self)
         self.stream.close()
 
     def check_times(self, now: float) -> None:
-        """End what has rested, taken or lingered too long."""
+        """Close the connection if it was idle, receiving or lingering for too long."""
         limits = self._server.limits
         if self.ended_at is not None:
             if now - self.ended_at > LINGER_S and not self.stream.unsent_bytes:
@@ -314,7 +314,7 @@
         return is_in_head and self._header_bytes > self._server.limits.maximum_header_bytes
 
     def _refuse(self, status: int) -> None:
-        """Answer what cannot be taken, after the answers that are due before it, and end."""
+        """Reject the input: respond with an error, or close after the responses still due."""
         if self._is_refused or self.ended_at is not None:
             return
         self._is_refused = True
@@ -327,13 +327,13 @@
 
 
 class Server:
-    """Accepts callers' connections and keeps them within the limits.
+    """Accepts connections from callers and enforces the limits.
 
     Args:
-        loop: the loop it is served on.
+        loop: the loop that serves the connections.
         address: ``IP:port`` to listen on.
-        handler: called with each whole request.
-        maximum_connections: connections beyond these are closed as they come.
+        handler: called with each complete request.
+        maximum_connections: connections beyond these are closed at once.
     """
 
     def __init__(
@@ -363,11 +363,11 @@
         return any(connection.is_busy for connection in self._connections)
 
     def forget(self, connection: ServerConnection) -> None:
-        """Drop a connection that has ended."""
+        """Remove a closed connection."""
         self._connections.discard(connection)
 
     def end_idle(self) -> None:
-        """End every connection on which no request is under way."""
+        """Shut down every connection that has no request in progress."""
         for connection in list(self._connections):
             if not connection.is_busy:
                 connection.end()
--- a/src/martenrun/net/stream.py
+++ b/src/martenrun/net/stream.py
@@ -1,4 +1,4 @@
-"""A non-blocking TCP connection on the loop, with buffered writes and back-pressure."""
+"""A non-blocking TCP connection with buffered writes and back-pressure."""
 
 import contextlib
 import socket
@@ -8,51 +8,55 @@
 from martenrun.net.loop import READ, WRITE, Loop
 
 READ_BYTES = 65536
-"""Most bytes read at a time."""
+"""Maximum number of bytes read at a time."""
 
 HIGH_WATER_BYTES = 262_144
-"""Unsent bytes from which a writer is told to pause."""
+"""Number of unsent bytes above which a writer should pause."""
 
 SILENT_PEER_MS = 1_500
-"""How long bytes to an opened connection may stay unacknowledged until it is broken, in ms."""
+"""How long sent bytes may stay unacknowledged before an opened connection fails, in ms."""
 
 SLOW_READER_MS = 15_000
-"""The same for an accepted connection, whose peer may also read slowly, in ms."""
+"""The same for an accepted connection, whose peer may also be reading slowly, in ms."""
 
 KEEP_ALIVE_IDLE_S = 1
 KEEP_ALIVE_INTERVAL_S = 1
 KEEP_ALIVE_PROBES = 2
-"""When a quiet connection is probed, and after how many lost probes it counts as broken."""
+"""Keep-alive probes of an idle connection: delay of the first one, interval between them, and the
+number of unanswered ones after which the connection fails."""
 
 
 class StreamOwner(Protocol):
-    """What a :class:`Stream` reports to."""
+    """Receives the events of a :class:`Stream`."""
 
     def on_connected(self) -> None:
-        """The connection that was opened is up."""
+        """Called when an opened connection is established."""
 
     def on_data(self, data: bytes) -> None:
-        """Bytes have arrived."""
+        """Called with received bytes."""
 
     def on_closed(self, is_clean: bool) -> None:
-        """The peer has ended the connection, or it broke; comes once, not after :meth:`close`."""
+        """Called once when the peer closes the connection (``is_clean``) or it fails.
+
+        Not called after :meth:`Stream.close`.
+        """
 
     def on_drained(self) -> None:
-        """Fewer unsent bytes than the high-water mark are left."""
+        """Called when the unsent bytes are below the high-water mark again."""
 
 
 class Stream:
     """One TCP connection.
 
     Args:
-        loop: the loop it is served on.
+        loop: the loop that serves the connection.
         sock: its socket, already non-blocking.
-        owner: told of everything that happens to it.
-        is_opened: whether this side opens the connection; only such streams are paced.  What they
-            send are prompts, which can wait; answers on accepted ones carry news to routers.
+        owner: receives the connection's events.
+        is_opened: whether this side opens the connection.  Only opened connections are paced: they
+            send prompts, which can wait; responses on accepted ones carry updates to routers.
 
     Attributes:
-        error: number of the system's error that kept the connection from coming up, or 0.
+        error: errno of a failed attempt to connect, or 0.
     """
 
     def __init__(
@@ -74,16 +78,16 @@
 
     @property
     def unsent_bytes(self) -> int:
-        """Bytes that wait for the peer to read."""
+        """Number of buffered bytes that are not sent yet."""
         return len(self._unsent)
 
     @property
     def is_congested(self) -> bool:
-        """Whether a writer had better pause."""
+        """Whether a writer should pause."""
         return len(self._unsent) > HIGH_WATER_BYTES
 
     def write(self, data: bytes) -> None:
-        """Send bytes as soon as the peer takes them."""
+        """Send bytes, or buffer them until the peer can receive them."""
         if self.is_closed or not data:
             return
         if self._unsent or self._is_connecting:
@@ -101,7 +105,7 @@
             self._watch()
 
     def close(self) -> None:
-        """Close at once; unsent bytes are dropped."""
+        """Close at once and drop unsent bytes."""
         if self.is_closed:
             return
         self.is_closed = True
@@ -109,7 +113,7 @@
         self._sock.close()
 
     def reset(self) -> None:
-        """Close at once so that the peer sees a reset."""
+        """Close at once with a TCP reset."""
         if self.is_closed:
             return
         with contextlib.suppress(OSError):
@@ -119,7 +123,7 @@
         self.close()
 
     def finish(self) -> None:
-        """Send what is left, then end the sending side; the peer's end closes the rest."""
+        """Send the buffered bytes, then shut down the sending side; the peer closes the rest."""
         self._closes_when_sent = True
         if not self._unsent:
             self._end_sending()
@@ -180,7 +184,7 @@
             self._owner.on_drained()
 
     def _send_paced(self, data: bytes | bytearray) -> int:
-        """Send as much as the link has room for beside others; return how many bytes left."""
+        """Send as much as the pacer allows; return the number of bytes sent."""
         if not self._is_paced:
             return self._send(data)
         allowed = self._loop.pacer.take(len(data))
@@ -204,7 +208,7 @@
         except (BlockingIOError, InterruptedError):
             return 0
         except OSError:
-            # Reading tells of the end, after what the peer may have sent before it.
+            # Let reading report the failure, after any data that the peer sent before it.
             self._is_paused = False
             self._loop.watch(self._sock, READ, self._on_ready)
             return len(data)
@@ -232,7 +236,7 @@
 
 
 def listen(loop: Loop, address: str, accepted: Callable[[socket.socket], None]) -> socket.socket:
-    """Listen on ``IP:port`` and hand each accepted socket, non-blocking, to ``accepted``."""
+    """Listen on ``IP:port`` and pass each accepted, non-blocking socket to ``on_accept``."""
     host, _, port = address.rpartition(":")
     listener = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
     listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
@@ -255,7 +259,7 @@
 
 
 def _tune(sock: socket.socket, unacknowledged_ms: int) -> None:
-    """Send without delay, and notice a peer that has gone silent."""
+    """Send without delay, and detect unresponsive peers."""
     with contextlib.suppress(OSError):
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, unacknowledged_ms)
--- a/src/martenrun/platform/__init__.py
+++ b/src/martenrun/platform/__init__.py
@@ -1,11 +1,11 @@
-"""Adapter of the users' platform: its names, formats and calls, and nothing that decides."""
+"""Adapter of the platform: translates its names, formats and calls, and makes no decisions."""
 
 from martenrun.platform import contents, entry, headers, objects, orders, settings
 from martenrun.router.dialect import Dialect, SettingsSource
 
 SETTINGS_VARIABLE = settings.SETTINGS_VARIABLE
 SETTINGS_SOURCE = SettingsSource(settings.load_settings, settings.settings_stamp)
-"""Where a router reads its settings from, at its start and whenever they change."""
+"""Source of a router's settings, read at its start and whenever they change."""
 
 DIALECT = Dialect(
     read_call=headers.read_call,
@@ -38,4 +38,4 @@
     directory_answer=entry.directory_answer,
     is_ready_question=entry.is_ready_question,
 )
-"""The platform's manner of speaking, handed to the router."""
+"""The functions through which the router uses the platform."""
--- a/src/martenrun/platform/contents.py
+++ b/src/martenrun/platform/contents.py
@@ -1,7 +1,7 @@
-"""What the platform's objects hold, read into the router's own types.
+"""Converts the specs of the platform's objects to the router's types.
 
-Decoding is strict: a field that is missing, of another type or out of its bounds makes the whole
-object unreadable, and what it would have named is not used.
+Decoding is strict: a field that is missing, has the wrong type or is out of bounds makes the whole
+object unreadable, and nothing that it defines is used.
 """
 
 from collections.abc import Mapping, Sequence
@@ -170,15 +170,15 @@
 
 
 def _read(content: Any, form: type[Wire], what: str) -> Wire:
-    """Check a content against its form; raises UnreadableError that names the field."""
+    """Validate a spec against its schema; raises UnreadableError that names the field."""
     try:
         return msgspec.convert(content, form)
     except FAULTS as exc:
-        raise UnreadableError(f"no {what}: {exc}") from exc
+        raise UnreadableError(f"invalid {what}: {exc}") from exc
 
 
 def read_configuration(stored: StoredObject) -> Configuration:
-    """Translate the operator's configuration; raises UnreadableError."""
+    """Convert the operator's configuration; raises UnreadableError."""
     spec = _read(stored.spec, _Configuration, "configuration")
     return Configuration(
         version=spec.version,
@@ -241,7 +241,7 @@
 
 
 def _rate_limit(tenant: _Tenant) -> RateLimit | None:
-    """Return a tenant's limit; a rate of 0 or none is no limit."""
+    """Return a tenant's rate limit, or None if its rate is 0 or not set."""
     if tenant.rate_per_s == 0:
         return None
     return RateLimit(
@@ -253,8 +253,8 @@
 
 
 def read_runner(stored: StoredObject) -> Runner:
-    """Translate a runner's entry; raises UnreadableError."""
-    entry = _read(stored.spec, _RunnerEntry, "entry of a runner")
+    """Convert a runner's entry; raises UnreadableError."""
+    entry = _read(stored.spec, _RunnerEntry, "runner entry")
     return Runner(
         instance=life_key(stored.name, entry.born),
         service=entry.service,
@@ -269,11 +269,11 @@
 
 
 def read_report(body: bytes) -> RunnerReport:
-    """Translate a runner's report; raises UnreadableError."""
+    """Convert a runner's report; raises UnreadableError."""
     try:
         report = msgspec.json.decode(body, type=_Report)
     except FAULTS as exc:
-        raise UnreadableError(f"no report of a runner: {exc}") from exc
+        raise UnreadableError(f"invalid runner report: {exc}") from exc
     return RunnerReport(
         weights=_weights(report.models),
         is_loading=report.busy,
@@ -288,13 +288,13 @@
 
 
 def read_weights(stored: StoredObject) -> WantedWeights:
-    """Translate a named version of a model's weights; raises UnreadableError."""
-    spec = _read(stored.spec, _NamedWeights, "named weights")
+    """Convert the target version of a model's weights; raises UnreadableError."""
+    spec = _read(stored.spec, _NamedWeights, "target weights")
     return WantedWeights(spec.model, spec.version)
 
 
 def read_lease(stored: StoredObject) -> LeaseRecord:
-    """Translate a lease object of the routers' own; raises UnreadableError."""
+    """Convert a lease object, which routers write themselves; raises UnreadableError."""
     spec = _read(stored.spec, _Lease, "lease")
     idle_ms = spec.released_idle_ms
     return LeaseRecord(
@@ -309,7 +309,7 @@
 
 
 def lease_spec(lease: LeaseRecord) -> object:
-    """Return the content of a lease object."""
+    """Return the spec of a lease object."""
     idle_s = lease.released_idle_s
     return {
         "holder": lease.holder,
@@ -323,8 +323,8 @@
 
 
 def read_blame(stored: StoredObject) -> list[BlameRecord]:
-    """Translate what routers keep of requests that end runners; raises UnreadableError."""
-    spec = _read(stored.spec, _Blame, "blame")
+    """Convert the routers' records of crash-causing requests; raises UnreadableError."""
+    spec = _read(stored.spec, _Blame, "crash records")
     return [
         BlameRecord(
             bytes.fromhex(item.fingerprint),
@@ -336,7 +336,7 @@
 
 
 def blame_spec(records: list[BlameRecord]) -> object:
-    """Return the content of the object that holds that."""
+    """Return the spec of the object that holds crash records."""
     requests = [
         {
             "fingerprint": record.fingerprint.hex(),
@@ -349,10 +349,10 @@
 
 
 def read_contacts(stored: StoredObject) -> list[str]:
-    """Translate the addresses of some living routers; raises UnreadableError."""
-    return _read(stored.spec, _Contacts, "contacts").addresses
+    """Convert the stored addresses of some running routers; raises UnreadableError."""
+    return _read(stored.spec, _Contacts, "peer addresses").addresses
 
 
 def contacts_spec(addresses: Sequence[str]) -> object:
-    """Return the content of the object that holds them."""
+    """Return the spec of the object that holds peer addresses."""
     return {"addresses": list(addresses)}
--- a/src/martenrun/platform/entry.py
+++ b/src/martenrun/platform/entry.py
@@ -1,4 +1,4 @@
-"""What callers and the platform ask a router for itself: addresses and readiness."""
+"""Requests that callers and the platform send to the router itself: addresses and readiness."""
 
 from collections.abc import Sequence
 from urllib.parse import parse_qs
@@ -12,7 +12,7 @@
 
 
 def directory_zone(request: HttpRequest) -> str | None:
-    """Return the zone of who asks for addresses, or None if the request asks something else."""
+    """Return the requester's zone if a request asks for router addresses, else None."""
     path, _, query = request.target.partition(b"?")
     if path != _DIRECTORY_PATH:
         return None
@@ -20,10 +20,10 @@
 
 
 def directory_answer(addresses: Sequence[str], seconds_to_live: float) -> bytes:
-    """Return the body that tells addresses."""
+    """Return the body of the response to a request for router addresses."""
     return msgspec.json.encode({"addresses": list(addresses), "ttl_s": seconds_to_live})
 
 
 def is_ready_question(request: HttpRequest) -> bool:
-    """Return whether the platform asks if the router is ready."""
+    """Return whether a request is the platform's readiness check."""
     return request.target.partition(b"?")[0] == _READY_PATH
--- a/src/martenrun/platform/headers.py
+++ b/src/martenrun/platform/headers.py
@@ -1,4 +1,4 @@
-"""Header fields of callers' requests, of requests to runners, and of runners' answers."""
+"""Header fields of callers' requests, of requests to runners, and of runners' responses."""
 
 import math
 import re
@@ -27,11 +27,11 @@
         b"last-event-id",
     }
 )
-"""Fields that a caller's request does not carry on; the router sets them or leaves them out."""
+"""Fields of a caller's request that are not forwarded; the router sets its own values, if any."""
 
 
 def read_call(request: HttpRequest) -> Call:
-    """Read a caller's request; raises ValueError if a field cannot be understood."""
+    """Parse a caller's request; raises ValueError if a field is invalid."""
     fields = {name.lower(): value for name, value in request.headers}
     deadline = fields.get(b"x-deadline-ms")
     model = fields.get(b"x-model-id")
@@ -51,21 +51,21 @@
 
 
 MOST_TOKENS = 10**9
-"""Most tokens that a request may tell of; more are a fault of its caller."""
+"""Maximum token count in a request; a higher one is an error of the caller."""
 
 
 def _usage(text: bytes | None) -> tuple[int, int | None]:
-    """Return tokens of the prompt, and of prompt and longest answer together if they are told.
+    """Return the prompt's tokens, and the sum of prompt and maximum output if they are given.
 
-    A missing second number counts as 0.  One below zero, which would give units of the tenant's
-    rate back, is an error.
+    A missing second number counts as 0.  A negative one is an error: it would give the tenant back
+    units of its rate limit.
     """
     if text is None:
         return 0, None
     prompt, _, answer = text.partition(b",")
     numbers = int(prompt), int(answer or b"0")
     if min(numbers) < 0 or max(numbers) > MOST_TOKENS:
-        raise ValueError(f"tokens of a request are not from 0 to {MOST_TOKENS}")
+        raise ValueError(f"token counts of a request must be from 0 to {MOST_TOKENS}")
     return numbers[0], sum(numbers)
 
 
@@ -78,7 +78,7 @@
 
 
 def runner_headers(headers: Headers, dispatch: Dispatch) -> Headers:
-    """Return the fields of a request as it goes to a runner."""
+    """Return the header fields of a request as it is sent to a runner."""
     sent = [
         (name, value) for name, value in end_to_end(headers) if name.lower() not in _SET_BY_ROUTER
     ]
@@ -98,7 +98,7 @@
 
 
 def read_marks(status: int, headers: Headers) -> AnswerMarks:
-    """Read what a runner's answer says of itself."""
+    """Read the metadata in the status and header fields of a runner's response."""
     is_not_executed = status == 421 or find_header(headers, b"x-not-executed") is not None
     return AnswerMarks(
         is_signed=find_header(headers, b"x-response-stamp") is not None,
@@ -119,7 +119,7 @@
 
 
 def _advertised_limit(headers: Headers) -> AdvertisedLimit | None:
-    """Return the rate limit of an answer: the lowest valid value if there are several."""
+    """Return the rate limit of a response: the lowest valid value if there are several."""
     fields = [value for name, value in headers if name.lower() == SERVER_LIMIT]
     if not fields:
         return None
@@ -138,6 +138,6 @@
 
 
 def answering_instance(headers: Headers) -> str | None:
-    """Return the instance that an answer names as its sender."""
+    """Return the id of the runner instance that sent a response, if it carries one."""
     value = find_header(headers, b"x-instance-id")
     return None if value is None else value.decode("latin-1")
--- a/src/martenrun/platform/objects.py
+++ b/src/martenrun/platform/objects.py
@@ -1,7 +1,7 @@
-"""The platform's store: its calls, and the envelopes of its answers.
+"""The platform's store: its calls, and the envelopes of its responses.
 
-What an object holds is read in :mod:`martenrun.platform.contents`.  One object that cannot be read
-leaves the others of its answer in place.
+The specs of objects are converted in :mod:`martenrun.platform.specs`.  An object that cannot be
+decoded does not affect the other objects of its response.
 """
 
 from typing import Any
@@ -39,7 +39,7 @@
 
 
 def list_objects(dataset: Dataset, after: str | None) -> HttpCall:
-    """Return the call for a page of a list."""
+    """Return the call that lists a page of a dataset."""
     query = f"?after={after}" if after else ""
     return HttpCall(b"GET", (_path(dataset) + query).encode(), [])
 
@@ -56,13 +56,13 @@
 
 
 def create_object(dataset: Dataset, name: str, spec: object) -> HttpCall:
-    """Return the call that makes an object."""
+    """Return the call that creates an object."""
     body = {"metadata": {"name": name, "finalizers": []}, "spec": spec}
     return HttpCall(b"POST", _path(dataset).encode(), _JSON, _ENCODE(body))
 
 
 def replace_object(dataset: Dataset, stored: StoredObject, spec: object) -> HttpCall:
-    """Return the call that replaces an object if it still has the revision read."""
+    """Return the call that replaces an object if its revision is still the one read."""
     metadata = {"name": stored.name, "revision": stored.revision, "finalizers": []}
     body = {"metadata": metadata, "spec": spec}
     return HttpCall(b"PUT", _path(dataset, stored.name).encode(), _JSON, _ENCODE(body))
@@ -109,15 +109,15 @@
 _NAMED = msgspec.json.Decoder(_NamedObject).decode
 
 FAULTS = (msgspec.MsgspecError, ValueError, RecursionError)
-"""What decoding raises for bytes that are not what they should be."""
+"""Exceptions that decoding raises for invalid input."""
 
 
 def read_page(body: bytes) -> StorePage:
-    """Read a page of a list; raises UnreadableError if it is none."""
+    """Decode a page of a list; raises UnreadableError if it is invalid."""
     try:
         page = _PAGE(body)
     except FAULTS as exc:
-        raise UnreadableError(f"no page of a list: {exc}") from exc
+        raise UnreadableError(f"invalid page of a list: {exc}") from exc
     objects = [_tolerant(item, page.at) for item in page.items]
     good = [stored for stored in objects if stored is not None]
     next_after = good[-1].name if page.more and good else None
@@ -125,22 +125,22 @@
 
 
 def read_changes(body: bytes) -> StoreChanges:
-    """Read the answer of a watch; raises UnreadableError if it is none."""
+    """Decode the response of a watch; raises UnreadableError if it is invalid."""
     try:
         changes = _CHANGES(body)
     except FAULTS as exc:
-        raise UnreadableError(f"no answer of a watch: {exc}") from exc
+        raise UnreadableError(f"invalid watch response: {exc}") from exc
     events = [_event(item, changes.at) for item in changes.events]
     good = tuple(event for event in events if event is not None)
     return StoreChanges(good, changes.at, len(events) - len(good))
 
 
 def read_stored(body: bytes) -> StoredObject:
-    """Read one object; raises UnreadableError if it is none."""
+    """Decode one object; raises UnreadableError if it is invalid."""
     try:
         return _stored(_OBJECT(body))
     except FAULTS as exc:
-        raise UnreadableError(f"no object: {exc}") from exc
+        raise UnreadableError(f"invalid object: {exc}") from exc
 
 
 def _stored(item: _Object) -> StoredObject:
@@ -157,7 +157,7 @@
 
 
 def _tolerant(item: msgspec.Raw, at: int) -> StoredObject | None:
-    """Read an object of an answer; one of which only the name can be read has no content."""
+    """Decode an object of a list; without a spec if only its name is valid, else None."""
     try:
         return _stored(_OBJECT(item))
     except FAULTS:
--- a/src/martenrun/platform/orders.py
+++ b/src/martenrun/platform/orders.py
@@ -14,7 +14,7 @@
 
 
 def order_weights(order: WeightsOrder) -> HttpCall:
-    """Return the call that orders a runner to load weights."""
+    """Return the call that orders a runner to load a version of a model's weights."""
     body: dict[str, object] = {
         "op_type": "version",
         "model": order.model,
@@ -33,10 +33,10 @@
 
 
 def read_order_outcome(status: int) -> OrderOutcome:
-    """Translate the status that an order is answered with."""
+    """Convert the status of the response to an order."""
     return _OUTCOMES.get(status, OrderOutcome.REFUSED)
 
 
 def ask_report() -> HttpCall:
-    """Return the call for a runner's report."""
+    """Return the call that requests a runner's report."""
     return HttpCall(b"GET", b"/martenrun/report", [])
--- a/src/martenrun/platform/settings.py
+++ b/src/martenrun/platform/settings.py
@@ -1,4 +1,4 @@
-"""The platform's settings file, read into the router's own settings."""
+"""Converts the platform's settings file to the router's settings."""
 
 import math
 import os
@@ -10,7 +10,7 @@
 from martenrun.router.settings import Bounds, RouterSettings
 
 SETTINGS_VARIABLE = "MARTENRUN_SETTINGS"
-"""Environment variable that names the settings file."""
+"""Environment variable that holds the path of the settings file."""
 
 _MS = 1000.0
 _BYTES_PER_MBIT = 125_000.0
@@ -35,7 +35,7 @@
     "bounds.budget_window_s": _NUMBER,
     "bounds.budget_slack": _NUMBER,
 }
-"""Fields that a router needs, and their types."""
+"""Required fields and their types."""
 
 _OPTIONAL: dict[str, type | tuple[type, ...]] = {
     "bootstrap": bool,
@@ -50,11 +50,11 @@
     "bounds.quota_over": _NUMBER,
     "bounds.quota_slack": _NUMBER,
 }
-"""Fields that may be left out, and their types."""
+"""Optional fields and their types."""
 
 
 def settings_stamp() -> int:
-    """Return a number that changes whenever the settings file does, or 0 if there is none."""
+    """Return the settings file's modification time in nanoseconds, or 0 if there is no file."""
     try:
         return os.stat(os.environ.get(SETTINGS_VARIABLE, "")).st_mtime_ns
     except OSError:
@@ -62,11 +62,11 @@
 
 
 def load_settings(path: str | None = None) -> RouterSettings:
-    """Read the settings file; raises SettingsError that names the field."""
+    """Read the settings file; raises SettingsError that names each invalid field."""
     path = path or os.environ.get(SETTINGS_VARIABLE)
     if not path:
         raise SettingsError(
-            "no settings file is named", remedy=f"Set {SETTINGS_VARIABLE} to its path."
+            "no settings file is given", remedy=f"Set {SETTINGS_VARIABLE} to its path."
         )
     try:
         with open(path, "rb") as file:
@@ -74,12 +74,12 @@
     except (OSError, tomllib.TOMLDecodeError) as exc:
         raise SettingsError(
             f"the settings file cannot be read: {exc}",
-            remedy=f"Mend the file that {SETTINGS_VARIABLE} names.",
+            remedy=f"Correct the file that {SETTINGS_VARIABLE} points to.",
         ) from exc
 
 
 def read_settings(table: dict[str, Any]) -> RouterSettings:
-    """Translate the settings; raises SettingsError that names every fault."""
+    """Convert the settings; raises SettingsError that lists every invalid field."""
     faults = settings_faults(table)
     if faults:
         raise SettingsError("; ".join(faults), remedy="Correct these fields in the settings file.")
@@ -87,7 +87,7 @@
 
 
 def is_router_file(path: str) -> bool:
-    """Return whether a file holds the settings that the platform lays for a router."""
+    """Return whether a file holds the settings that the platform provides for a router."""
     try:
         with open(path, "rb") as file:
             return "listen_addrs" in tomllib.load(file)
@@ -96,7 +96,7 @@
 
 
 def settings_faults(table: dict[str, Any]) -> list[str]:
-    """Return a line for each field that is missing or has the wrong type."""
+    """Return a line for each field that is missing, empty or has the wrong type."""
     faults = []
     for path, expected in (_REQUIRED | _OPTIONAL).items():
         value = _field(table, path)
--- a/src/martenrun/platform/standins/__init__.py
+++ b/src/martenrun/platform/standins/__init__.py
@@ -1,1 +1,1 @@
-"""Small stand-ins of the platform's store and runners, for tests, the demo and the soak."""
+"""Stand-ins for the platform's store and runners, used by the tests, the demo and the soak test."""
--- a/src/martenrun/platform/standins/runner.py
+++ b/src/martenrun/platform/standins/runner.py
@@ -1,6 +1,6 @@
-"""Stand-in of a runner: runs requests, streams events, takes orders, and notes what it has run.
+"""Stand-in for a runner: serves requests and streams, accepts orders, and records what it served.
 
-Faults can be set by ``fault``: each request that comes asks it what to do.
+Faults are injected by :attr:`RunnerStandin.fault`, which is called for each request.
 """
 
 import enum
@@ -20,7 +20,7 @@
 
 
 class Fault(enum.Enum):
-    """What a runner may do to a request."""
+    """A fault that a runner injects into its handling of a request."""
 
     NONE = "none"
     FULL = "full"
@@ -33,7 +33,7 @@
 
 @attrs.frozen
 class Run:
-    """One request that was begun, as the runner saw it."""
+    """A request that the runner began to execute."""
 
     request_id: str
     instance: str
@@ -49,9 +49,9 @@
 
 @attrs.frozen
 class Arrival:
-    """A request that reached the runner, whether it was run or refused.
+    """A request that reached the runner, whether it was executed or refused.
 
-    ``limit`` is the rate limit that its answer advertises, or None.
+    ``limit`` is the rate limit that its response advertises, or None.
     """
 
     request_id: str
@@ -63,7 +63,7 @@
 
 @attrs.frozen
 class RunEnd:
-    """When a runner stopped working on a request, and whether it had come to its end."""
+    """When a runner stopped executing a request, and whether it completed it."""
 
     request_id: str
     at: float
@@ -72,7 +72,7 @@
 
 @attrs.frozen
 class Crash:
-    """The end of one start of a runner under a request."""
+    """A crash of a runner instance while it served a request."""
 
     request_id: str
     instance: str
@@ -82,12 +82,13 @@
 class RunnerStandin:
     """A runner of one service.
 
-    It crashes under requests whose body ``is_deadly``, as it sends the head of their answer, and
-    tells ``on_crash``.
-
-    ``limit`` is the rate limit that its answers advertise, in requests per second, or None;
-    ``events`` is how many events a stream has, ``pause_of`` the pause between them by request;
-    ``listed_address`` is told in the entry where others reach the runner by a relay.
+    Attributes:
+        limit: rate limit that its responses advertise, in requests per second, or None.
+        events: number of events in a stream.
+        pause_of: returns the pause between two events of a request, in seconds.
+        listed_address: address in the runner's entry, if others reach it by a relay.
+        is_deadly: whether a request with a given body crashes the runner before it responds.
+        on_crash: called when the runner crashes.
     """
 
     def __init__(self, service: str, model: str | None, events: int = 6) -> None:
@@ -119,14 +120,14 @@
         self.address = f"127.0.0.1:{self._server.server_address[1]}"
 
     def close(self) -> None:
-        """Stop serving: connections to it are refused from now on."""
+        """Stop serving: connections are refused from now on."""
         self._server.shutdown()
         self._server.server_close()
         if self._held is not None:
             self._held.close()
 
     def crash(self, request_id: str) -> None:
-        """End at once under a request; :meth:`come_back` starts it anew."""
+        """Crash while serving a request; :meth:`come_back` starts the runner again."""
         with self._crashing:
             self.crashes.append(Crash(request_id, self.instance, time.monotonic()))
             if self._held is None:
@@ -134,7 +135,7 @@
                 self._held = self._server.crash()
 
     def come_back(self, keeps_id: bool) -> None:
-        """Start anew at the same address after a crash, under another id or the same."""
+        """Restart at the same address after a crash, with a new id or the same one."""
         assert self._held is not None
         if not keeps_id:
             self.instance = f"i-{next(_INSTANCES):04d}"
@@ -144,7 +145,7 @@
         self._server.start()
 
     def start_again(self) -> None:
-        """Start anew under the same id: streams under way break off, counts and fences are gone."""
+        """Start a new instance under the same id: streams in progress break, orders are reset."""
         self.born_ms = max(self.born_ms + 1, int(time.time() * 1000))
         self.earlier_orders += self.orders
         self.orders = []
@@ -185,17 +186,17 @@
     _limit: str | None = None
 
     def log_message(self, format: str, *args: object) -> None:
-        """Write nothing."""
+        """Suppress the access log."""
 
     def do_GET(self) -> None:
-        """Report, or run a request."""
+        """Return the report, or execute a request."""
         if self.path == "/martenrun/report":
             self._send(200, msgspec.json.encode(self.runner.report()), {})
         else:
             self._run(b"")
 
     def do_POST(self) -> None:
-        """Take an order, or run a request."""
+        """Accept an order, or execute a request."""
         body = self.rfile.read(int(self.headers.get("Content-Length") or 0))
         if self.path == "/martenrun/order":
             self._order(msgspec.json.decode(body))
--- a/src/martenrun/platform/standins/serving.py
+++ b/src/martenrun/platform/standins/serving.py
@@ -1,4 +1,4 @@
-"""The HTTP server of the stand-ins: a thread a connection, silent about peers that leave."""
+"""The HTTP server of the stand-ins: one thread per connection, no log of disconnects."""
 
 import contextlib
 import socket
@@ -8,17 +8,17 @@
 from typing import Any
 
 STOP_CHECK_S = 0.01
-"""How often a server looks whether it is to stop, in seconds."""
+"""Interval at which a server checks whether to stop, in seconds."""
 
 
 HOLD_S = 2.0
-"""For how long a port is tried to be held whose server has just ended, in seconds."""
+"""How long to retry binding a port whose server has just stopped, in seconds."""
 
 
 def held_port(address: tuple[str, int]) -> socket.socket:
-    """Return a socket that keeps a port: connections to it are refused until it listens.
+    """Return a socket that reserves a port: connections are refused until it listens.
 
-    A port that nobody holds may be given to any connection that a process of this machine opens.
+    The system may otherwise give the port to any connection that a process of this machine opens.
     """
     until = time.monotonic() + HOLD_S
     while True:
@@ -36,7 +36,7 @@
 
 
 class QuietServer(ThreadingHTTPServer):
-    """A server whose connections may break at any time, and that can end as a crash ends it."""
+    """A server that tolerates broken connections and can simulate the crash of its process."""
 
     daemon_threads = True
 
@@ -45,12 +45,12 @@
         self._open: set[socket.socket] = set()
 
     def start(self) -> None:
-        """Serve on a thread of its own."""
+        """Serve on a new thread."""
         threading.Thread(target=self.serve_forever, args=(STOP_CHECK_S,), daemon=True).start()
 
     @classmethod
     def at(cls, held: socket.socket, handler: Any) -> "QuietServer":
-        """Return a server at a port that was held."""
+        """Return a server on a reserved port."""
         server = cls(held.getsockname(), handler, False)
         server.socket.close()
         server.socket = held
@@ -58,14 +58,14 @@
         return server
 
     def crash(self) -> socket.socket:
-        """End at once: every connection is reset, new ones are refused; return the held port."""
+        """Stop at once: reset every connection, refuse new ones, and return the reserved port."""
         self.shutdown()
         self.server_close()
         held = held_port(self.server_address[:2])  # type: ignore[arg-type]
         for sock in list(self._open):
             with contextlib.suppress(OSError):
                 sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, b"\x01" + bytes(7))
-                # A handler still holds the socket: its own end is what sends the reset.
+                # The handler still holds the socket: the reset is sent when the handler closes it.
                 sock.shutdown(socket.SHUT_RDWR)
         return held
 
@@ -75,9 +75,9 @@
         super().process_request(request, client_address)
 
     def shutdown_request(self, request: Any) -> None:
-        """End a connection."""
+        """Close a connection."""
         self._open.discard(request)
         super().shutdown_request(request)
 
     def handle_error(self, request: Any, client_address: Any) -> None:
-        """Write nothing: routers close connections when they like."""
+        """Suppress the error log: routers may close connections at any time."""
--- a/src/martenrun/platform/standins/store.py
+++ b/src/martenrun/platform/standins/store.py
@@ -1,7 +1,7 @@
-"""Stand-in of the platform's store: objects by kind, revisions, lists, watches, conditions.
+"""Stand-in for the platform's store: revisions, lists, watches and conditional writes by kind.
 
-Faults can be set: ``is_down`` answers 503, ``is_silent`` holds every answer back, ``loses``
-carries writes out and drops the answer, ``forget_history`` makes watches start anew.
+Faults are injected by attributes: ``is_down`` answers 503, ``is_silent`` withholds every response,
+``loses`` applies writes but drops their responses.  ``forget_history`` makes watches start over.
 """
 
 import threading
@@ -18,7 +18,7 @@
 
 
 class StoreStandin:
-    """The store; serves on threads until closed."""
+    """The store; serves on threads until it is closed."""
 
     def __init__(self) -> None:
         self._changed = threading.Condition()
@@ -41,7 +41,7 @@
         self._server.server_close()
 
     def put(self, kind: str, name: str, spec: object) -> int:
-        """Write an object as the operator or a runner does; return the revision."""
+        """Write an object as the operator or a runner would; return its revision."""
         with self._changed:
             self.revision += 1
             item = {
@@ -54,7 +54,7 @@
             return self.revision
 
     def remove(self, kind: str, name: str) -> None:
-        """Remove an object."""
+        """Delete an object."""
         with self._changed:
             item = self._objects.pop((kind, name), None)
             if item is None:
@@ -64,25 +64,25 @@
             self._changed.notify_all()
 
     def forget_history(self) -> None:
-        """Forget all changes; watches from before get 410."""
+        """Discard all changes; a watch from an earlier revision gets 410."""
         with self._changed:
             self._oldest = self.revision + 1
             self._events.clear()
             self._changed.notify_all()
 
     def read(self, kind: str, name: str) -> dict[str, Any] | None:
-        """Return an object."""
+        """Return an object, or None if it does not exist."""
         with self._changed:
             return self._objects.get((kind, name))
 
     def list(self, kind: str) -> dict[str, Any]:
-        """Return a list's answer."""
+        """Return the response to a list request."""
         with self._changed:
             items = [item for (of, _), item in sorted(self._objects.items()) if of == kind]
             return {"items": items, "more": False, "at": self.revision}
 
     def watch(self, kind: str, after: int, wait_s: float) -> dict[str, Any] | None:
-        """Return a watch's answer, or None if that history is gone."""
+        """Return the response to a watch, or None if the changes after ``after`` are discarded."""
         end = time.monotonic() + wait_s
         with self._changed:
             while True:
@@ -95,7 +95,7 @@
                 self._changed.wait(left)
 
     def write(self, kind: str, name: str, body: dict[str, Any], creates: bool) -> tuple[int, Any]:
-        """Carry out a conditional write; return its status and object."""
+        """Apply a conditional write; return its status and the object."""
         with self._changed:
             known = self._objects.get((kind, name))
             if creates and known is not None:
@@ -115,10 +115,10 @@
     store: StoreStandin
 
     def log_message(self, format: str, *args: object) -> None:
-        """Write nothing."""
+        """Suppress the access log."""
 
     def do_GET(self) -> None:
-        """List, watch or read."""
+        """List, watch or read objects."""
         url = urlsplit(self.path)
         query = parse_qs(url.query)
         kind, _, name = url.path.removeprefix(ROOT).partition("/")
@@ -136,7 +136,7 @@
             self._answer(200, self.store.list(kind))
 
     def do_POST(self) -> None:
-        """Make an object."""
+        """Create an object."""
         self._write(True)
 
     def do_PUT(self) -> None:
--- a/tests/router/loopback.py
+++ b/tests/router/loopback.py
@@ -1,4 +1,4 @@
-"""Helpers that serve a loop and talk to it over real sockets in the same thread."""
+"""Helpers that run a loop and talk to it over real sockets in the same thread."""
 
 import socket
 import time
@@ -15,16 +15,16 @@
 
 
 def serve_until(loop: Loop, condition):
-    """Serve the loop until a condition holds; fails after some seconds."""
+    """Run the loop until a condition holds; fail after ``LIMIT_S`` seconds."""
     end = time.monotonic() + LIMIT_S
     while not condition():
-        assert time.monotonic() < end, "the condition never held"
+        assert time.monotonic() < end, "the condition did not become true"
         loop.call_later(0.01, lambda: None)
         loop.run_once()
 
 
 class Peer:
-    """One side of a connection, read whenever the loop has been served."""
+    """One end of a connection, read whenever the loop has run."""
 
     def __init__(self, sock):
         self.sock = sock
@@ -62,7 +62,7 @@
 
 
 class RunnerPeer:
-    """A listener that plays a runner by hand."""
+    """A listener through which a test acts as a runner."""
 
     def __init__(self):
         self.listener = socket.socket()
--- a/tests/router/test_client.py
+++ b/tests/router/test_client.py
@@ -1,4 +1,4 @@
-"""The HTTP client: whose answer is whose, what ends an answer, when a connection is used again."""
+"""The HTTP client: matching of responses to requests, their ends, reuse of connections."""
 
 import attrs
 import pytest
@@ -88,7 +88,7 @@
     connected.peer().send(answer(b"1", b"late") + answer(b"2", b"own"))
     connected.until(lambda: "complete" in reader.events)
     assert reader.body == b"own"
-    assert connected.ended, "a connection with a strange answer is not used again"
+    assert connected.ended, "a connection with an unexpected response is not reused"
 
 
 def test_bytes_after_a_whole_answer_end_the_connection(connected):
--- a/tests/router/test_loop.py
+++ b/tests/router/test_loop.py
@@ -1,4 +1,4 @@
-"""The loop tells how late it serves what is ready; a clock and a selector are handed in."""
+"""The loop's report of how late it handles ready events, with a simulated clock and selector."""
 
 import ast
 from pathlib import Path
@@ -11,7 +11,7 @@
 
 
 class PlayedSelector:
-    """Takes time to wait, and once more where the process stands still meanwhile."""
+    """Advances the clock by the timeout, and by a suspension of the process at its end."""
 
     def __init__(self):
         self.now = 50.0
@@ -19,7 +19,7 @@
         self.waiting = []
 
     def select(self, wait_s):
-        """End with the time that was asked for; what comes while it stands still comes next."""
+        """Time out; events that arrive during a suspension are returned by the next call."""
         self.now += wait_s + self.stands_still_s
         self.stands_still_s = 0.0
         if wait_s:
@@ -65,7 +65,10 @@
 
 
 def test_what_came_in_a_wait_that_ended_without_events_is_not_taken_for_new(played):
-    """Seen with a router that stood still as its wait ended: datagrams of 7 s ago were news."""
+    """Guards against datagrams of 7 s ago counting as new.
+
+    The process was suspended just as its wait timed out, so that the wait returned no events.
+    """
     loop, selector = played
     lateness = []
     selector.waiting = [(SimpleKey(lambda _ready: lateness.append(loop.late_s)), 1)]
@@ -76,14 +79,14 @@
 
 
 class SimpleKey:
-    """What a selector hands back with a socket that is ready."""
+    """The key that a selector returns for a ready socket."""
 
     def __init__(self, call):
         self.data = call
 
 
 def test_a_suspended_machine_ages_what_it_knows(played):
-    """The wait does not count suspended time, the clock does: timers are due on resume."""
+    """The timeout does not include suspended time, the clock does: timers are due on resume."""
     loop, selector = played
     served = []
     loop.call_later(3.0, lambda: served.append("lease ends"))
@@ -110,11 +113,11 @@
 
 READS_A_CLOCK = {"monotonic", "perf_counter", "clock_gettime", "time", "time_ns", "monotonic_ns"}
 WALL_CLOCK_READERS = {"router/log.py", "router/peers.py"}
-"""Modules that read the time of day: for the lines of the log, and to draw an incarnation."""
+"""Modules that read the time of day: for log lines, and to choose an incarnation id."""
 
 
 def test_no_other_clock_is_read_by_the_router():
-    """An age, a lease or a deadline taken from another clock would stand still in suspension."""
+    """An age, a lease or a deadline measured with another clock would stop during suspension."""
     root = Path(martenrun.__file__).parent
     readers = set()
     for folder in ("net", "router", "platform"):
--- a/tests/router/test_pacing.py
+++ b/tests/router/test_pacing.py
@@ -1,4 +1,4 @@
-"""Large writes leave a slow link in slices; small ones pass between them."""
+"""Pacing of large writes on a slow link: slices, with small writes between them."""
 
 import itertools
 
@@ -12,7 +12,7 @@
 from .loopback import Peer, free_address, serve_until
 
 SLOW_LINK = 625_000.0
-"""5 Mbit/s in bytes a second."""
+"""5 Mbit/s in bytes per second."""
 
 
 @pytest.fixture
@@ -27,7 +27,7 @@
 
 
 class Writer:
-    """Sends so many bytes as the pacer lets it."""
+    """Writes a number of bytes as fast as the pacer allows."""
 
     def __init__(self, loop, pacer, size):
         self.loop = loop
@@ -147,7 +147,7 @@
 
 
 def test_answers_on_accepted_connections_are_not_paced():
-    """They carry the configuration to other routers, which must have it within seconds."""
+    """Responses carry the configuration to other routers, which must have it within seconds."""
     loop = Loop()
     loop.pacer.set_link(20_000.0)
     address = free_address()
--- a/tests/router/test_platform_adapter.py
+++ b/tests/router/test_platform_adapter.py
@@ -1,4 +1,4 @@
-"""The adapter translates and nothing else; its names stand nowhere but in its folder."""
+"""The platform adapter: its translations, and that its names are used in no other package."""
 
 import ast
 import json
--- a/tests/router/test_server.py
+++ b/tests/router/test_server.py
@@ -1,4 +1,4 @@
-"""The HTTP server: framing, limits, order, leaving callers, answers that never look complete."""
+"""The HTTP server: framing, limits, order, caller disconnects, aborted responses."""
 
 import attrs
 import pytest
--- a/tests/router/test_suspension.py
+++ b/tests/router/test_suspension.py
@@ -1,4 +1,4 @@
-"""A machine is suspended: the clock has gone on, timers and sockets have not."""
+"""Suspension of the machine: the clock advances, timers and sockets do not."""
 
 import pytest
 
@@ -23,7 +23,7 @@
 
 @pytest.fixture
 def suspend(monkeypatch):
-    """Let the clock jump while the real one goes on."""
+    """Return a function that makes the clock jump, as a suspension does."""
     read = clock._read
     jumped_s = 0.0
 
