--- a/scripts/faulty_relay.py
+++ b/scripts/faulty_relay.py
@@ -6,7 +6,7 @@
 import threading
 import time
 
-from martenrun.platform.standins.serving import held_port
+from martenrun.platform.standins.http_server import reserve_port
 
 _READ_BYTES = 65_536
 _CONNECT_TIMEOUT_S = 2.0
@@ -50,7 +50,7 @@
         self.cut()
         _shut(self._listener)
         self._listener.close()
-        self._held = held_port(_parsed(self.address))
+        self._held = reserve_port(_parsed(self.address))
 
     def restore(self) -> None:
         """Relay again, without delay."""
--- a/scripts/platform_demo.py
+++ b/scripts/platform_demo.py
@@ -47,7 +47,7 @@
         first = list(callers.map(lambda n: ask(deployment, n), range(REQUESTS // 2)))
         deployment.store.put("versions", MODEL, {"model": MODEL, "version": 2})
         runners = [runner for runner in deployment.runners if runner.model]
-        deployment.wait(lambda: all(runner.weights == 2 for runner in runners))
+        deployment.wait(lambda: all(runner.weights_version == 2 for runner in runners))
         rest = list(callers.map(lambda n: ask(deployment, n), range(REQUESTS // 2, REQUESTS)))
     outcomes = first + rest
     whole = collections.Counter(item.kind for item in outcomes if item.is_whole)
--- a/scripts/platform_deployment.py
+++ b/scripts/platform_deployment.py
@@ -258,7 +258,7 @@
         """Let model runners crash under some bodies; each is back after some time."""
 
         def come_back(runner: RunnerStandin, before: str) -> None:
-            runner.come_back(keeps_id)
+            runner.restart_after_crash(keeps_id)
             self.list_runner(runner)
             if not keeps_id:
                 self._later(LAPSE_S, self.store.remove, "servers", before)
@@ -268,7 +268,7 @@
 
         for runner in self.runners:
             if runner.model is not None:
-                runner.is_deadly = is_deadly
+                runner.crashes_on = is_deadly
                 runner.on_crash = crashed
 
     def _later(self, delay_s: float, call: Callable[..., None], *arguments: object) -> None:
--- a/scripts/soak.py
+++ b/scripts/soak.py
@@ -249,7 +249,7 @@
                 float(str(order["taken_at"])),
             )
             for runner in runners
-            for order in [*runner.earlier_orders, *runner.orders]
+            for order in [*runner.previous_orders, *runner.orders]
         ],
         revocations=faults.revocations,
         departures=faults.departures,
--- a/scripts/soak_runner_faults.py
+++ b/scripts/soak_runner_faults.py
@@ -59,8 +59,8 @@
             self._prepare(runner)
 
     def _prepare(self, runner: RunnerStandin) -> None:
-        runner.pause_of = pause_of
-        runner.is_deadly = is_deadly
+        runner.event_pause_of = pause_of
+        runner.crashes_on = is_deadly
         runner.on_crash = self._on_crash
 
     def _later(self, delay_s: float, call: Callable[[], None]) -> None:
@@ -79,7 +79,7 @@
         """Let a new runner join for one that leaves."""
         new = RunnerStandin(old.service, old.model)
         self._prepare(new)
-        new.weights = old.weights
+        new.weights_version = old.weights_version
         self._deployment.runners.append(new)
         self._deployment.list_runner(new)
         self._deployment.runners.remove(old)
@@ -108,7 +108,7 @@
             way(runner)
 
     def _start_again(self, runner: RunnerStandin, began_at: float) -> None:
-        runner.start_again()
+        runner.start_new_instance()
         if runner in self._deployment.runners:
             self._deployment.list_runner(runner)
         self._note(runner.instance, began_at, time.monotonic() + ANSWERS_OVER_S)
@@ -136,7 +136,7 @@
             began_at = self.crashed_at = time.monotonic()
 
             def start(runner: RunnerStandin = runner, began_at: float = began_at) -> None:
-                runner.come_back(keeps_id=True)
+                runner.restart_after_crash(keeps_id=True)
                 self._deployment.relays[runner.instance].restore()
                 self._start_again(runner, began_at)
 
@@ -258,7 +258,7 @@
     def has_old_weights(self) -> bool:
         """Whether a runner still has weights of before the newest that were named."""
         runners = self._deployment.runners
-        return any(r.model is not None and r.weights < self._weights for r in runners)
+        return any(r.model is not None and r.weights_version < self._weights for r in runners)
 
     def _name_weights(self, _step: Step) -> None:
         self._weights += 1
--- a/src/martenrun/platform/standins/serving.py
+++ b/src/martenrun/platform/standins/http_server.py
@@ -7,20 +7,20 @@
 from http.server import ThreadingHTTPServer
 from typing import Any
 
-STOP_CHECK_S = 0.01
+STOP_CHECK_INTERVAL_S = 0.01
 """Interval at which a server checks whether to stop, in seconds."""
 
 
-HOLD_S = 2.0
+RESERVE_TIMEOUT_S = 2.0
 """How long to retry binding a port whose server has just stopped, in seconds."""
 
 
-def held_port(address: tuple[str, int]) -> socket.socket:
+def reserve_port(address: tuple[str, int]) -> socket.socket:
     """Return a socket that reserves a port: connections are refused until it listens.
 
     The system may otherwise give the port to any connection that a process of this machine opens.
     """
-    until = time.monotonic() + HOLD_S
+    deadline = time.monotonic() + RESERVE_TIMEOUT_S
     while True:
         sock = socket.socket()
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
@@ -28,9 +28,9 @@
             sock.bind(address)
         except OSError:
             sock.close()
-            if time.monotonic() > until:
+            if time.monotonic() > deadline:
                 raise
-            time.sleep(STOP_CHECK_S)
+            time.sleep(STOP_CHECK_INTERVAL_S)
         else:
             return sock
 
@@ -42,18 +42,20 @@
 
     def __init__(self, *arguments: Any) -> None:
         super().__init__(*arguments)
-        self._open: set[socket.socket] = set()
+        self._connections: set[socket.socket] = set()
 
     def start(self) -> None:
         """Serve on a new thread."""
-        threading.Thread(target=self.serve_forever, args=(STOP_CHECK_S,), daemon=True).start()
+        threading.Thread(
+            target=self.serve_forever, args=(STOP_CHECK_INTERVAL_S,), daemon=True
+        ).start()
 
     @classmethod
-    def at(cls, held: socket.socket, handler: Any) -> "QuietServer":
+    def on_reserved_port(cls, sock: socket.socket, handler: Any) -> "QuietServer":
         """Return a server on a reserved port."""
-        server = cls(held.getsockname(), handler, False)
+        server = cls(sock.getsockname(), handler, False)
         server.socket.close()
-        server.socket = held
+        server.socket = sock
         server.server_activate()
         return server
 
@@ -61,22 +63,22 @@
         """Stop at once: reset every connection, refuse new ones, and return the reserved port."""
         self.shutdown()
         self.server_close()
-        held = held_port(self.server_address[:2])  # type: ignore[arg-type]
-        for sock in list(self._open):
+        reserved = reserve_port(self.server_address[:2])  # type: ignore[arg-type]
+        for sock in list(self._connections):
             with contextlib.suppress(OSError):
                 sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, b"\x01" + bytes(7))
                 # The handler still holds the socket: the reset is sent when the handler closes it.
                 sock.shutdown(socket.SHUT_RDWR)
-        return held
+        return reserved
 
     def process_request(self, request: Any, client_address: Any) -> None:
         """Serve a connection on a thread."""
-        self._open.add(request)
+        self._connections.add(request)
         super().process_request(request, client_address)
 
     def shutdown_request(self, request: Any) -> None:
         """Close a connection."""
-        self._open.discard(request)
+        self._connections.discard(request)
         super().shutdown_request(request)
 
     def handle_error(self, request: Any, client_address: Any) -> None:
--- a/src/martenrun/platform/standins/runner.py
+++ b/src/martenrun/platform/standins/runner.py
@@ -14,7 +14,7 @@
 import attrs
 import msgspec
 
-from martenrun.platform.standins.serving import QuietServer
+from martenrun.platform.standins.http_server import QuietServer
 
 _INSTANCES = itertools.count(1)
 
@@ -42,8 +42,8 @@
     body: bytes
     tenant: str | None
     has_key: bool
-    salt: str | None
-    weights: int
+    cache_salt: str | None
+    weights_version: int
     at: float
 
 
@@ -67,7 +67,7 @@
 
     request_id: str
     at: float
-    is_whole: bool
+    is_complete: bool
 
 
 @attrs.frozen
@@ -85,9 +85,9 @@
     Attributes:
         limit: rate limit that its responses advertise, in requests per second, or None.
         events: number of events in a stream.
-        pause_of: returns the pause between two events of a request, in seconds.
+        event_pause_of: returns the pause between two events of a request, in seconds.
         listed_address: address in the runner's entry, if others reach it by a relay.
-        is_deadly: whether a request with a given body crashes the runner before it responds.
+        crashes_on: whether a request with a given body crashes the runner before it responds.
         on_crash: called when the runner crashes.
     """
 
@@ -95,25 +95,25 @@
         self.instance = f"i-{next(_INSTANCES):04d}"
         self.service = service
         self.model = model
-        self.weights = 1
+        self.weights_version = 1
         self.events = events
         self.event_pause_s = 0.005
-        self.pause_of: Callable[[str], float] = lambda _request_id: self.event_pause_s
+        self.event_pause_of: Callable[[str], float] = lambda _request_id: self.event_pause_s
         self.listed_address: str | None = None
         self.is_draining = False
         self.born_ms = int(time.time() * 1000)
         self.orders: list[dict[str, object]] = []
-        self.earlier_orders: list[dict[str, object]] = []
+        self.previous_orders: list[dict[str, object]] = []
         self.limit: str | None = None
         self.arrivals: list[Arrival] = []
         self.runs: list[Run] = []
         self.ends: list[RunEnd] = []
         self.fault: Callable[[], Fault] = lambda: Fault.NONE
-        self.is_deadly: Callable[[bytes], bool] = lambda _body: False
+        self.crashes_on: Callable[[bytes], bool] = lambda _body: False
         self.on_crash: Callable[[RunnerStandin], None] = lambda _runner: None
         self.crashes: list[Crash] = []
-        self._crashing = threading.Lock()
-        self._held: socket.socket | None = None
+        self._crash_lock = threading.Lock()
+        self._reserved_port: socket.socket | None = None
         self._handler = type("Handler", (_Handler,), {"runner": self})
         self._server = QuietServer(("127.0.0.1", 0), self._handler)
         self._server.start()
@@ -123,31 +123,31 @@
         """Stop serving: connections are refused from now on."""
         self._server.shutdown()
         self._server.server_close()
-        if self._held is not None:
-            self._held.close()
+        if self._reserved_port is not None:
+            self._reserved_port.close()
 
     def crash(self, request_id: str) -> None:
-        """Crash while serving a request; :meth:`come_back` starts the runner again."""
-        with self._crashing:
+        """Crash while serving a request; :meth:`restart_after_crash` starts the runner again."""
+        with self._crash_lock:
             self.crashes.append(Crash(request_id, self.instance, time.monotonic()))
-            if self._held is None:
+            if self._reserved_port is None:
                 self.on_crash(self)
-                self._held = self._server.crash()
+                self._reserved_port = self._server.crash()
 
-    def come_back(self, keeps_id: bool) -> None:
+    def restart_after_crash(self, keeps_id: bool) -> None:
         """Restart at the same address after a crash, with a new id or the same one."""
-        assert self._held is not None
+        assert self._reserved_port is not None
         if not keeps_id:
             self.instance = f"i-{next(_INSTANCES):04d}"
-        self.start_again()
-        self._server = QuietServer.at(self._held, self._handler)
-        self._held = None
+        self.start_new_instance()
+        self._server = QuietServer.on_reserved_port(self._reserved_port, self._handler)
+        self._reserved_port = None
         self._server.start()
 
-    def start_again(self) -> None:
+    def start_new_instance(self) -> None:
         """Start a new instance under the same id: streams in progress break, orders are reset."""
         self.born_ms = max(self.born_ms + 1, int(time.time() * 1000))
-        self.earlier_orders += self.orders
+        self.previous_orders += self.orders
         self.orders = []
         self.is_draining = False
 
@@ -177,7 +177,7 @@
         }
 
     def _models(self) -> list[dict[str, object]]:
-        return [] if self.model is None else [{"name": self.model, "version": self.weights}]
+        return [] if self.model is None else [{"name": self.model, "version": self.weights_version}]
 
 
 class _Handler(BaseHTTPRequestHandler):
@@ -212,7 +212,7 @@
             self._send(412, b"", {})
             return
         self.runner.orders.append({**order, "taken_at": time.monotonic()})
-        self.runner.weights = int(str(order["version"]))
+        self.runner.weights_version = int(str(order["version"]))
         self._send(202, b"", {})
 
     def _run(self, body: bytes) -> None:
@@ -227,15 +227,15 @@
                 self._limit,
             )
         )
-        if not self._is_meant():
+        if not self._matches_expectations():
             self._send(421, b"", {"X-Instance-Id": self.runner.instance})
             return
         fault = self.runner.fault()
         if fault is Fault.FULL:
             self._send(503, b"", {"X-Not-Executed": "1"})
             return
-        self.runner.runs.append(self._noted(body))
-        if self.runner.is_deadly(body):
+        self.runner.runs.append(self._new_run(body))
+        if self.runner.crashes_on(body):
             self.runner.crash(self._request_id())
             self.close_connection = True
         elif fault is Fault.LOST_ANSWER:
@@ -246,26 +246,26 @@
         elif fault is Fault.ERROR:
             self._send(500, b"failed", self._signature())
         elif "X-Prefix-Hash" in self.headers:
-            is_whole = False
+            is_complete = False
             try:
                 self._stream(fault)
-                is_whole = not self.close_connection
+                is_complete = not self.close_connection
             finally:
-                end = RunEnd(self._request_id(), time.monotonic(), is_whole)
+                end = RunEnd(self._request_id(), time.monotonic(), is_complete)
                 self.runner.ends.append(end)
         elif fault is Fault.NO_SIGNATURE:
             self._send(200, b"forged", {})
         else:
             self._send(200, b"answer to " + self._request_id().encode(), self._signature())
 
-    def _is_meant(self) -> bool:
+    def _matches_expectations(self) -> bool:
         if self.headers.get("X-Expect-Instance", self.runner.instance) != self.runner.instance:
             return False
-        return self.headers.get("X-Expect-Version", str(self.runner.weights)) == str(
-            self.runner.weights
+        return self.headers.get("X-Expect-Version", str(self.runner.weights_version)) == str(
+            self.runner.weights_version
         )
 
-    def _noted(self, body: bytes) -> Run:
+    def _new_run(self, body: bytes) -> Run:
         return Run(
             self._request_id(),
             self.runner.instance,
@@ -275,7 +275,7 @@
             self.headers.get("X-Tenant-Id"),
             "X-Key" in self.headers,
             self.headers.get("X-Cache-Salt"),
-            self.runner.weights,
+            self.runner.weights_version,
             time.monotonic(),
         )
 
@@ -300,7 +300,7 @@
                 return
             self.wfile.write(b"%x\r\n%b\r\n" % (len(data), data))
             self.wfile.flush()
-            time.sleep(self.runner.pause_of(self._request_id()))
+            time.sleep(self.runner.event_pause_of(self._request_id()))
         self.wfile.write(b"0\r\n\r\n")
 
     def _send(self, status: int, body: bytes, headers: dict[str, str]) -> None:
--- a/src/martenrun/platform/standins/store.py
+++ b/src/martenrun/platform/standins/store.py
@@ -12,7 +12,7 @@
 
 import msgspec
 
-from martenrun.platform.standins.serving import QuietServer
+from martenrun.platform.standins.http_server import QuietServer
 
 ROOT = "/martenrun/objects/"
 
@@ -24,7 +24,7 @@
         self._changed = threading.Condition()
         self._objects: dict[tuple[str, str], dict[str, Any]] = {}
         self._events: list[tuple[int, str, dict[str, Any]]] = []
-        self._oldest = 0
+        self._oldest_revision = 0
         self.revision = 0
         self.calls = 0
         self.is_down = False
@@ -66,7 +66,7 @@
     def forget_history(self) -> None:
         """Discard all changes; a watch from an earlier revision gets 410."""
         with self._changed:
-            self._oldest = self.revision + 1
+            self._oldest_revision = self.revision + 1
             self._events.clear()
             self._changed.notify_all()
 
@@ -78,34 +78,40 @@
     def list(self, kind: str) -> dict[str, Any]:
         """Return the response to a list request."""
         with self._changed:
-            items = [item for (of, _), item in sorted(self._objects.items()) if of == kind]
+            items = [
+                item for (item_kind, _), item in sorted(self._objects.items()) if item_kind == kind
+            ]
             return {"items": items, "more": False, "at": self.revision}
 
     def watch(self, kind: str, after: int, wait_s: float) -> dict[str, Any] | None:
         """Return the response to a watch, or None if the changes after ``after`` are discarded."""
-        end = time.monotonic() + wait_s
+        deadline = time.monotonic() + wait_s
         with self._changed:
             while True:
-                if after + 1 < self._oldest:
+                if after + 1 < self._oldest_revision:
                     return None
-                events = [e for rev, of, e in self._events if of == kind and rev > after]
-                left = end - time.monotonic()
-                if events or left <= 0 or self.is_down or self.is_silent:
+                events = [
+                    event
+                    for revision, item_kind, event in self._events
+                    if item_kind == kind and revision > after
+                ]
+                remaining_s = deadline - time.monotonic()
+                if events or remaining_s <= 0 or self.is_down or self.is_silent:
                     return {"events": events, "at": self.revision}
-                self._changed.wait(left)
+                self._changed.wait(remaining_s)
 
     def write(self, kind: str, name: str, body: dict[str, Any], creates: bool) -> tuple[int, Any]:
         """Apply a conditional write; return its status and the object."""
         with self._changed:
-            known = self._objects.get((kind, name))
-            if creates and known is not None:
-                return 409, known
-            if not creates and known is None:
+            existing = self._objects.get((kind, name))
+            if creates and existing is not None:
+                return 409, existing
+            if not creates and existing is None:
                 return 404, {}
-            wanted = body["metadata"].get("revision")
-            if known is not None and wanted not in (None, known["metadata"]["revision"]):
-                return 409, known
-            if known is None or known["spec"] != body["spec"]:
+            expected = body["metadata"].get("revision")
+            if existing is not None and expected not in (None, existing["metadata"]["revision"]):
+                return 409, existing
+            if existing is None or existing["spec"] != body["spec"]:
                 self.put(kind, name, body["spec"])
             return 200, self._objects[(kind, name)]
 
@@ -126,14 +132,14 @@
             return
         if name:
             item = self.store.read(kind, name)
-            self._answer(404 if item is None else 200, item or {})
+            self._respond(404 if item is None else 200, item or {})
         elif "watch" in query:
             wait_s = int(query.get("wait_ms", ["0"])[0]) / 1000.0
             answer = self.store.watch(kind, int(query["watch"][0]), wait_s)
             if self._is_serving():
-                self._answer(410 if answer is None else 200, answer or {})
+                self._respond(410 if answer is None else 200, answer or {})
         else:
-            self._answer(200, self.store.list(kind))
+            self._respond(200, self.store.list(kind))
 
     def do_POST(self) -> None:
         """Create an object."""
@@ -152,7 +158,7 @@
         if self.store.loses:
             self.close_connection = True
             return
-        self._answer(status, item)
+        self._respond(status, item)
 
     def _is_serving(self) -> bool:
         self.store.calls += 1
@@ -162,11 +168,11 @@
                 time.sleep(0.02)
             return False
         if self.store.is_down:
-            self._answer(503, {})
+            self._respond(503, {})
             return False
         return True
 
-    def _answer(self, status: int, body: object) -> None:
+    def _respond(self, status: int, body: object) -> None:
         data = msgspec.json.encode(body)
         self.send_response(status)
         self.send_header("Content-Type", "application/json")
--- a/tests/router/test_deadly_requests.py
+++ b/tests/router/test_deadly_requests.py
@@ -131,7 +131,7 @@
         stopping, staying = deployment.routers
         runner = deployment.runners[0]
         relay = deployment.relays[runner.instance]
-        runner.is_deadly = lambda body: body == DEADLY
+        runner.crashes_on = lambda body: body == DEADLY
         # New connections are accepted and closed at once for a while, then refused.
         runner.on_crash = lambda _runner: relay.cut()
         ordered_at = time.monotonic()
--- a/tests/router/test_whole_path.py
+++ b/tests/router/test_whole_path.py
@@ -73,7 +73,7 @@
             assert runs[0].body == b"body of " + request_id.encode()
         if path.startswith(("/ask", "/once")):
             assert answer.data.count(b"\n\n") == 6
-            assert runs[0].salt.startswith(f"{MODEL}/1/")
+            assert runs[0].cache_salt.startswith(f"{MODEL}/1/")
 
 
 def test_unknown_routes_and_keys_are_denied(deployment):
@@ -145,11 +145,11 @@
 def test_named_weights_reach_every_runner_by_one_holder(deployment):
     deployment.store.put("versions", MODEL, {"model": MODEL, "version": 2})
     runners = [runner for runner in deployment.runners if runner.model]
-    deployment.wait(lambda: all(runner.weights == 2 for runner in runners))
+    deployment.wait(lambda: all(runner.weights_version == 2 for runner in runners))
     orders = [order for runner in runners for order in runner.orders]
     assert len({order["holder"] for order in orders}) == 1
     assert deployment.ask("/ask/x", "weights-1").status == 200
-    assert deployment.runs_of("weights-1")[0].salt.startswith(f"{MODEL}/2/")
+    assert deployment.runs_of("weights-1")[0].cache_salt.startswith(f"{MODEL}/2/")
 
 
 def test_figures_are_told_in_prometheus_text(deployment):
@@ -243,12 +243,12 @@
         runner.is_draining = True
         deployment.list_runner(runner)
     deployment.wait(lambda: deployment.ask("/slip/x", "drained").status == 503)
-    runners[0].start_again()
+    runners[0].start_new_instance()
     deployment.list_runner(runners[0])
     deployment.wait(lambda: deployment.ask("/slip/x", "started").status == 200)
     assert {run.instance for run in deployment.runs_of("started")} == {runners[0].instance}
     for runner in runners[1:]:
-        runner.start_again()
+        runner.start_new_instance()
         deployment.list_runner(runner)
 
 
