--- a/src/martenrun/net/client.py
+++ b/src/martenrun/net/client.py
@@ -1,4 +1,4 @@
-"""The HTTP/1.1 client side: one connection, one request at a time."""
+"""An HTTP/1.1 client connection that serves one request at a time."""
 
 from collections.abc import Callable
 from typing import Any, Protocol
@@ -10,41 +10,41 @@
 from martenrun.net.stream import Stream, open_stream
 
 CONNECT_TIMEOUT_S = 0.4
-"""How long a connection may take to come up, in seconds."""
+"""Timeout for establishing a connection, in seconds."""
 
 
-class AnswerReader(Protocol):
-    """What the answer to one request is reported to."""
+class ResponseReader(Protocol):
+    """Receives the response to one request."""
 
     def on_sent(self) -> None:
-        """The connection is up: the request's bytes begin to leave."""
+        """Called when the connection is established, just before the request is sent."""
 
     def on_head(self, status: int, headers: Headers, length: int | None) -> None:
-        """An answer has begun."""
+        """Called with the head of the response."""
 
     def on_body(self, data: bytes) -> None:
-        """A part of the answer's body."""
+        """Called with a part of the response's body."""
 
     def on_complete(self) -> None:
-        """The answer is whole; the connection has been given back or closed."""
+        """Called after a complete response; the connection is already idle or closed."""
 
     def on_broken(self, was_sent: bool) -> None:
-        """The connection ended first; ``was_sent``: bytes of the request may have left."""
+        """Called if the connection fails; ``was_sent``: bytes of the request may have been sent."""
 
 
 class ClientConnection:
     """A connection to one address.
 
     Args:
-        loop: the loop it is served on.
+        loop: the loop that serves the connection.
         address: ``IP:port``.
-        on_idle: called when a whole answer leaves the connection fit for another request.
+        on_idle: called after a complete response if the connection can be reused.
         on_end: called once when the connection can no longer be used.
 
     Attributes:
-        was_kept: whether it has carried a whole answer and rested since.
-        idle_since: steady time from which it rests.
-        keep_alive_s: how long the other side lets it rest, in seconds, or None if not told.
+        was_kept_alive: whether the connection was kept open after an earlier response.
+        idle_since: monotonic time since which the connection is idle.
+        keep_alive_s: keep-alive timeout that the peer announced, in seconds, or None.
     """
 
     def __init__(
@@ -58,20 +58,22 @@
         self.address = address
         self._on_idle = on_idle
         self._on_end = on_end
-        self._reader: AnswerReader | None = None
+        self._reader: ResponseReader | None = None
         self._request = b""
         self._expected_id: tuple[bytes, bytes] | None = None
         self._parser: Any = None
         self._headers: Headers = []
-        self._is_skipped = False
-        self._is_until_close = False
-        self._may_be_kept = True
+        self._skips_response = False
+        self._is_close_delimited = False
+        self._may_keep_alive = True
         self._is_connected = False
-        self._was_answered = False
-        self.was_kept = False
+        self._is_response_complete = False
+        self.was_kept_alive = False
         self.idle_since = loop.now()
         self.keep_alive_s: float | None = None
-        self._connecting: Timer | None = loop.call_later(CONNECT_TIMEOUT_S, self._connect_late)
+        self._connect_timer: Timer | None = loop.call_later(
+            CONNECT_TIMEOUT_S, self._on_connect_timeout
+        )
         self._stream: Stream | None = open_stream(loop, address, self)
 
     @property
@@ -80,119 +82,119 @@
         return self._stream is not None
 
     def send(
-        self, request: bytes, reader: AnswerReader, expected_id: tuple[bytes, bytes] | None = None
+        self, request: bytes, reader: ResponseReader, expected_id: tuple[bytes, bytes] | None = None
     ) -> None:
         """Send a request.
 
         Args:
             request: its bytes.
-            reader: told of the answer.
-            expected_id: a header field that the answer must carry to be this request's; whole
-                answers with another value belong to earlier requests and are passed over.
+            reader: receives the response.
+            expected_id: name and value of a header field that the response must carry; a response
+                with another value belongs to an earlier request and is skipped.
         """
         self._reader = reader
         self._expected_id = expected_id
         self._request = request
         self._parser = httptools.HttpResponseParser(self)
-        self._was_answered = False
+        self._is_response_complete = False
         if self._is_connected:
             self._send_now()
 
     def pause(self, is_paused: bool) -> None:
-        """Stop or resume reading the answer."""
+        """Stop or resume reading the response."""
         if self._stream is not None:
             self._stream.pause(is_paused)
 
     def close(self) -> None:
-        """Close at once; the reader hears no more."""
+        """Close at once; the reader is not called again."""
         self._reader = None
-        self._end()
+        self._close_stream()
 
-    # What the stream reports
+    # Stream events
 
     def on_connected(self) -> None:
-        """The connection is up."""
+        """Send the request, if there is one already."""
         self._is_connected = True
         self._stop_connect_timer()
         if self._reader is not None:
             self._send_now()
 
     def on_data(self, data: bytes) -> None:
-        """Parse what has arrived; bytes that nobody waits for end the connection."""
+        """Parse received bytes; close the connection if no response is expected."""
         if self._reader is None:
-            self._end()
+            self._close_stream()
             return
         try:
             self._parser.feed_data(data)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade):
-            self._break()
+            self._fail()
             return
-        if self._was_answered:
+        if self._is_response_complete:
             self._finish()
 
     def on_closed(self, is_clean: bool) -> None:
-        """The peer has ended the connection."""
-        ends_answer = is_clean and self._is_until_close and not self._is_skipped
-        if ends_answer and self._reader is not None:
-            self._may_be_kept = False
-            self._was_answered = True
+        """Complete a response that the close delimits; otherwise fail the request."""
+        completes_response = is_clean and self._is_close_delimited and not self._skips_response
+        if completes_response and self._reader is not None:
+            self._may_keep_alive = False
+            self._is_response_complete = True
             self._finish()
         else:
-            self._break()
+            self._fail()
 
     def on_drained(self) -> None:
-        """Requests are written whole; nothing waits for this."""
+        """Do nothing: a request is written in one piece."""
 
-    # What the parser reports
+    # Parser events
 
     def on_message_begin(self) -> None:
-        """An answer begins."""
-        if self._was_answered:
-            # More than one whole answer: nothing further on this connection can be trusted.
-            self._may_be_kept = False
+        """Reset the parsing state for a new response."""
+        if self._is_response_complete:
+            # More than one complete response: further data on this connection cannot be trusted.
+            self._may_keep_alive = False
         self._headers = []
-        self._is_skipped = self._was_answered
+        self._skips_response = self._is_response_complete
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """A header field."""
+        """Store a header field."""
         self._headers.append((name, value))
 
     def on_headers_complete(self) -> None:
-        """A head is complete."""
+        """Pass the head on; skip interim responses and responses to earlier requests."""
         status = self._parser.get_status_code()
-        if self._was_answered or status < 200:
-            self._is_skipped = True
+        if self._is_response_complete or status < 200:
+            self._skips_response = True
             return
         if self._expected_id is not None:
             name, value = self._expected_id
             if find_header(self._headers, name) != value:
-                self._is_skipped = True
-                self._may_be_kept = False
+                self._skips_response = True
+                self._may_keep_alive = False
                 return
-        length = self._length(status)
+        length = self._body_length(status)
         if not self._parser.should_keep_alive():
-            self._may_be_kept = False
+            self._may_keep_alive = False
         self._read_keep_alive()
         if self._reader is not None:
             self._reader.on_head(status, self._headers, length)
 
     def on_body(self, data: bytes) -> None:
-        """A part of a body."""
-        if not self._is_skipped and not self._was_answered and self._reader is not None:
+        """Pass a part of the body on."""
+        if not self._skips_response and not self._is_response_complete and self._reader is not None:
             self._reader.on_body(data)
 
     def on_message_complete(self) -> None:
-        """An answer is whole."""
-        if not self._is_skipped:
-            self._was_answered = True
+        """Note that the response is complete."""
+        if not self._skips_response:
+            self._is_response_complete = True
 
-    def _length(self, status: int) -> int | None:
-        """Return the answer's length, or None where chunks or the connection's end tell it."""
+    def _body_length(self, status: int) -> int | None:
+        """Return the body's length, or None if chunks or the connection's close delimit it."""
         length = find_header(self._headers, b"content-length")
         if length is not None:
             return int(length)
         is_chunked = b"chunked" in (find_header(self._headers, b"transfer-encoding") or b"").lower()
-        self._is_until_close = not is_chunked and status not in (204, 304)
+        self._is_close_delimited = not is_chunked and status not in (204, 304)
         return None
 
     def _read_keep_alive(self) -> None:
@@ -206,7 +208,7 @@
         if self._reader is None or self._stream is None:
             return
         self._reader.on_sent()
-        # The reader may have given the request up in on_sent().
+        # The reader may have cancelled the request in on_sent().
         if self._reader is not None and self._stream is not None:
             self._stream.write(self._request)
 
@@ -214,28 +216,28 @@
         reader = self._reader
         self._reader = None
         has_unsent = self._stream is None or self._stream.unsent_bytes > 0
-        if self._may_be_kept and not has_unsent and self._stream is not None:
+        if self._may_keep_alive and not has_unsent and self._stream is not None:
             self.idle_since = self._loop.now()
-            self.was_kept = True
+            self.was_kept_alive = True
             self._on_idle(self)
         else:
-            self._end()
+            self._close_stream()
         if reader is not None:
             reader.on_complete()
 
-    def _break(self) -> None:
+    def _fail(self) -> None:
         reader = self._reader
         was_sent = self._is_connected
         self._reader = None
-        self._end()
+        self._close_stream()
         if reader is not None:
             reader.on_broken(was_sent)
 
-    def _connect_late(self) -> None:
-        self._connecting = None
-        self._break()
+    def _on_connect_timeout(self) -> None:
+        self._connect_timer = None
+        self._fail()
 
-    def _end(self) -> None:
+    def _close_stream(self) -> None:
         self._stop_connect_timer()
         stream = self._stream
         self._stream = None
@@ -244,6 +246,6 @@
             self._on_end(self)
 
     def _stop_connect_timer(self) -> None:
-        if self._connecting is not None:
-            self._connecting.cancel()
-            self._connecting = None
+        if self._connect_timer is not None:
+            self._connect_timer.cancel()
+            self._connect_timer = None
--- a/src/martenrun/net/server.py
+++ b/src/martenrun/net/server.py
@@ -1,7 +1,7 @@
 """The HTTP/1.1 server of a router process.
 
-Whole requests are handed to a handler one at a time for each connection.  A caller's leaving is
-noticed while its request is served.  An answer that is given up never looks complete.
+Complete requests are passed to a handler, one at a time for each connection.  A caller's disconnect
+is detected while its request is served.  An aborted response never looks complete.
 """
 
 import collections
@@ -12,29 +12,29 @@
 import attrs
 import httptools
 
-from martenrun.net.http import Headers, HttpRequest, answer_head
+from martenrun.net.http import Headers, HttpRequest, response_head
 from martenrun.net.loop import Loop
 from martenrun.net.stream import Stream, listen
 
 SWEEP_INTERVAL_S = 0.25
-"""How often connections are looked at for time-outs, in seconds."""
+"""Interval between two checks of the connections' timeouts, in seconds."""
 
 LINGER_S = 1.0
-"""How long a connection that was ended here may still be read from, in seconds."""
+"""How long to keep reading a connection that was shut down by this side, in seconds."""
 
 MAXIMUM_CONNECTIONS = 1_000
-"""Most connections of a server that is not told otherwise."""
+"""Default maximum number of connections of a server."""
 
-QUEUED_REQUESTS = 4
-"""Requests that may wait on one connection before it is no longer read."""
+MAXIMUM_QUEUED_REQUESTS = 4
+"""Number of queued requests at which a connection is no longer read."""
 
-BODYLESS = frozenset({204, 304})
-"""Statuses of answers without a body."""
+BODYLESS_STATUSES = frozenset({204, 304})
+"""Statuses of responses without a body."""
 
 
 @attrs.frozen
 class ServerLimits:
-    """What a caller may send, and how long it may take; sizes in bytes, times in seconds."""
+    """Limits on callers' requests: sizes in bytes, times in seconds."""
 
     maximum_header_bytes: int = 16_384
     maximum_body_bytes: int = 4_194_304
@@ -43,18 +43,18 @@
 
 
 class Exchange:
-    """One request and the answer to it.
+    """A request and its response.
 
     Attributes:
-        request: the whole request.
-        on_gone: set by the handler; called if the caller leaves before the answer's end.
-        on_drained: set by the handler; called when the caller has read enough again.
+        request: the complete request.
+        on_disconnect: set by the handler; called if the caller disconnects before the end.
+        on_drained: set by the handler; called when the caller has caught up with the response.
     """
 
     def __init__(self, connection: "ServerConnection", request: HttpRequest) -> None:
         self._connection = connection
         self.request = request
-        self.on_gone: Callable[[], None] | None = None
+        self.on_disconnect: Callable[[], None] | None = None
         self.on_drained: Callable[[], None] | None = None
         self.has_started = False
         self.is_over = False
@@ -62,25 +62,25 @@
 
     @property
     def is_congested(self) -> bool:
-        """Whether the caller reads more slowly than it is written to."""
+        """Whether the caller reads more slowly than the response is written."""
         return self._connection.stream.is_congested
 
     def respond(
         self, status: int, headers: Headers, body: bytes = b"", is_closing: bool = False
     ) -> None:
-        """Send a whole answer."""
+        """Send a complete response."""
         if self.is_over or self.has_started:
             return
         self.has_started = True
-        framing = b"" if status in BODYLESS else b"Content-Length: %d" % len(body)
-        closing = is_closing or self._connection.closes_next()
+        framing = b"" if status in BODYLESS_STATUSES else b"Content-Length: %d" % len(body)
+        closing = is_closing or self._connection.decide_close()
         if self.request.method == b"HEAD":
             body = b""
-        self._connection.write(answer_head(status, headers, framing, closing) + body)
+        self._connection.write(response_head(status, headers, framing, closing) + body)
         self._finish(closing)
 
     def start(self, status: int, headers: Headers, length: int | None) -> None:
-        """Begin an answer whose body follows; ``length`` None sends it in chunks."""
+        """Start a response whose body follows; without a ``length`` it is sent in chunks."""
         if self.is_over or self.has_started:
             return
         self.has_started = True
@@ -89,7 +89,7 @@
             b"Transfer-Encoding: chunked" if length is None else b"Content-Length: %d" % length
         )
         self._connection.write(
-            answer_head(status, headers, framing, self._connection.closes_next())
+            response_head(status, headers, framing, self._connection.decide_close())
         )
 
     def send(self, data: bytes) -> None:
@@ -101,7 +101,7 @@
         self._connection.write(data)
 
     def end(self) -> None:
-        """End the answer as complete."""
+        """Complete the response."""
         if self.is_over:
             return
         if self._is_chunked:
@@ -109,231 +109,233 @@
         self._finish(self._connection.announced_close)
 
     def abort(self) -> None:
-        """Break the answer off; the caller sees that it is not complete."""
+        """Abort the response so that the caller can see that it is incomplete."""
         if not self.is_over:
             self.is_over = True
             self._connection.abort()
 
     def _finish(self, is_closing: bool) -> None:
         self.is_over = True
-        self._connection.answered(is_closing)
+        self._connection.finish_exchange(is_closing)
 
 
-STOOD_STILL_S = 0.5
+SUSPENSION_THRESHOLD_S = 0.5
 """How late a request must be read for its waiting time to count, in seconds.
 
-Its deadline runs from when it came: a machine that was suspended, or a process that stood still,
-must not give a runner time that its caller no longer has.  Shorter delays are those of a busy loop.
+Its deadline runs from its arrival: after a suspension of the machine or of the process, a runner
+must not get time that the caller no longer has.  Shorter delays are those of a busy loop.
 """
 
 
 class ServerConnection:
-    """A caller's connection: parses its requests and serves them in order."""
+    """A caller's connection: parses requests and serves them in order."""
 
     def __init__(self, server: "Server", sock: socket.socket) -> None:
         self._server = server
         self._parser: Any = httptools.HttpRequestParser(self)
-        self._waiting: collections.deque[HttpRequest] = collections.deque()
+        self._queue: collections.deque[HttpRequest] = collections.deque()
         self._current: Exchange | None = None
         self._target = b""
         self._headers: Headers = []
         self._body = bytearray()
         self._header_bytes = 0
-        self._head_at = 0.0
+        self._head_received_at = 0.0
         self._is_in_message = False
-        self._is_refused = False
+        self._is_rejected = False
         self._ends_after_queue = False
         self.announced_close = False
-        self.rested_since = server.loop.now()
-        self.ended_at: float | None = None
+        self.phase_started_at = server.loop.now()
+        self.shut_down_at: float | None = None
         self.stream = Stream(server.loop, sock, self)
 
     @property
     def is_busy(self) -> bool:
         """Whether a request is being received or served."""
-        return self._current is not None or bool(self._waiting) or self._is_in_message
+        return self._current is not None or bool(self._queue) or self._is_in_message
 
-    # What the stream reports
+    # Stream events
 
     def on_connected(self) -> None:
-        """Never comes: the connection was accepted."""
+        """Do nothing: an accepted connection is already established."""
 
     def on_data(self, data: bytes) -> None:
-        """Parse what has arrived."""
-        if self._is_refused or self.ended_at is not None:
+        """Parse received bytes."""
+        if self._is_rejected or self.shut_down_at is not None:
             return
         if not self._is_in_message:
-            self.rested_since = self._server.loop.now()
+            self.phase_started_at = self._server.loop.now()
         self._header_bytes += len(data)
         try:
             self._parser.feed_data(data)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade):
-            self._refuse(400)
+            self._reject(400)
             return
-        if not self._is_refused and self._is_head_too_long():
-            self._refuse(431)
+        if not self._is_rejected and self._is_head_too_long():
+            self._reject(431)
         self._serve_next()
 
     def on_closed(self, is_clean: bool) -> None:
-        """The caller has left."""
-        self._server.forget(self)
+        """Handle the caller's disconnect."""
+        self._server.remove(self)
         current = self._current
-        self._waiting.clear()
+        self._queue.clear()
         if current is not None and not current.is_over:
             current.is_over = True
-            if current.on_gone is not None:
-                current.on_gone()
+            if current.on_disconnect is not None:
+                current.on_disconnect()
 
     def on_drained(self) -> None:
-        """The caller has read enough again."""
+        """Notify the current exchange that the caller has caught up."""
         if self._current is not None and self._current.on_drained is not None:
             self._current.on_drained()
 
-    # What the parser reports
+    # Parser events
 
     def on_message_begin(self) -> None:
-        """A request begins."""
+        """Reset the parsing state for a new request."""
         self._is_in_message = True
         self._target = b""
         self._headers = []
         self._body = bytearray()
-        self._head_at = 0.0
+        self._head_received_at = 0.0
 
     def on_url(self, url: bytes) -> None:
-        """A part of the target."""
+        """Append a part of the request target."""
         self._target += url
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """A header field."""
+        """Store a header field."""
         self._headers.append((name, value))
 
     def on_headers_complete(self) -> None:
-        """The head is complete."""
+        """Check the announced size of the body and reply to ``Expect: 100-continue``."""
         late_s = self._server.loop.late_s
-        stood_still_s = late_s if late_s > STOOD_STILL_S else 0.0
-        self._head_at = self._server.loop.now() - stood_still_s
+        suspended_s = late_s if late_s > SUSPENSION_THRESHOLD_S else 0.0
+        self._head_received_at = self._server.loop.now() - suspended_s
         self._header_bytes = 0
-        if self._announced_length() > self._server.limits.maximum_body_bytes:
-            self._refuse(413)
+        if self._content_length() > self._server.limits.maximum_body_bytes:
+            self._reject(413)
             return
         for name, value in self._headers:
             if name.lower() == b"expect" and value.lower() == b"100-continue":
                 self.stream.write(b"HTTP/1.1 100 Continue\r\n\r\n")
 
     def on_body(self, data: bytes) -> None:
-        """A part of the body."""
-        if self._is_refused:
+        """Append a part of the body and check its size."""
+        if self._is_rejected:
             return
         self._body += data
         if len(self._body) > self._server.limits.maximum_body_bytes:
-            self._refuse(413)
+            self._reject(413)
 
     def on_message_complete(self) -> None:
-        """A request is whole."""
+        """Queue the complete request."""
         self._is_in_message = False
         self._header_bytes = 0
-        if self._is_refused:
+        if self._is_rejected:
             return
         if not self._parser.should_keep_alive():
             self._ends_after_queue = True
         method = self._parser.get_method()
-        self._waiting.append(
-            HttpRequest(method, self._target, self._headers, bytes(self._body), self._head_at)
+        self._queue.append(
+            HttpRequest(
+                method, self._target, self._headers, bytes(self._body), self._head_received_at
+            )
         )
 
-    # What exchanges and the server ask for
+    # Used by exchanges and the server
 
     def write(self, data: bytes) -> None:
         """Send bytes to the caller."""
         self.stream.write(data)
 
-    def closes_next(self) -> bool:
-        """Whether the answer that begins now is the connection's last; remembers it."""
+    def decide_close(self) -> bool:
+        """Decide whether the connection closes after the response that is being started."""
         self.announced_close = (
             self.announced_close
             or self._server.is_draining
-            or (self._ends_after_queue and not self._waiting)
+            or (self._ends_after_queue and not self._queue)
         )
         return self.announced_close
 
-    def answered(self, is_closing: bool) -> None:
-        """Go on with the next request, or end the connection."""
+    def finish_exchange(self, is_closing: bool) -> None:
+        """Continue with the next request, or close the connection."""
         self._current = None
-        self.rested_since = self._server.loop.now()
+        self.phase_started_at = self._server.loop.now()
         if is_closing:
-            self.end()
-        elif self._waiting:
+            self.shut_down()
+        elif self._queue:
             self._server.loop.call_later(0, self._serve_next)
 
-    def end(self) -> None:
-        """End the connection from this side once all is sent."""
-        if self.ended_at is None and not self.stream.is_closed:
-            self.ended_at = self._server.loop.now()
-            self._waiting.clear()
+    def shut_down(self) -> None:
+        """Shut the connection down once all responses are sent."""
+        if self.shut_down_at is None and not self.stream.is_closed:
+            self.shut_down_at = self._server.loop.now()
+            self._queue.clear()
             self.stream.pause(False)
             self.stream.finish()
 
     def abort(self) -> None:
-        """Break the connection off."""
+        """Close the connection at once."""
         self._current = None
-        self._server.forget(self)
+        self._server.remove(self)
         self.stream.close()
 
-    def check_times(self, now: float) -> None:
-        """End what has rested, taken or lingered too long."""
+    def check_timeouts(self, now: float) -> None:
+        """Close the connection if it was idle, receiving or lingering for too long."""
         limits = self._server.limits
-        if self.ended_at is not None:
-            if now - self.ended_at > LINGER_S and not self.stream.unsent_bytes:
+        if self.shut_down_at is not None:
+            if now - self.shut_down_at > LINGER_S and not self.stream.unsent_bytes:
                 self.abort()
         elif self._is_in_message:
-            if now - self.rested_since > self._receiving_limit_s():
-                self._refuse(408)
-        elif not self.is_busy and now - self.rested_since > limits.idle_timeout_s:
-            self.end()
+            if now - self.phase_started_at > self._receive_timeout_s():
+                self._reject(408)
+        elif not self.is_busy and now - self.phase_started_at > limits.idle_timeout_s:
+            self.shut_down()
 
-    def _receiving_limit_s(self) -> float:
+    def _receive_timeout_s(self) -> float:
         limits = self._server.limits
-        if self._head_at == 0.0:
+        if self._head_received_at == 0.0:
             return limits.header_timeout_s
         return limits.header_timeout_s + limits.idle_timeout_s
 
     def _serve_next(self) -> None:
-        if self._current is None and self._waiting and not self.stream.is_closed:
-            self._current = Exchange(self, self._waiting.popleft())
+        if self._current is None and self._queue and not self.stream.is_closed:
+            self._current = Exchange(self, self._queue.popleft())
             self._server.handler(self._current)
-        self.stream.pause(len(self._waiting) >= QUEUED_REQUESTS)
+        self.stream.pause(len(self._queue) >= MAXIMUM_QUEUED_REQUESTS)
 
-    def _announced_length(self) -> int:
+    def _content_length(self) -> int:
         for name, value in self._headers:
             if name.lower() == b"content-length":
                 return int(value)
         return 0
 
     def _is_head_too_long(self) -> bool:
-        is_in_head = self._is_in_message and self._head_at == 0.0
+        is_in_head = self._is_in_message and self._head_received_at == 0.0
         return is_in_head and self._header_bytes > self._server.limits.maximum_header_bytes
 
-    def _refuse(self, status: int) -> None:
-        """Answer what cannot be taken, after the answers that are due before it, and end."""
-        if self._is_refused or self.ended_at is not None:
+    def _reject(self, status: int) -> None:
+        """Reject the input: respond with an error, or close after the responses still due."""
+        if self._is_rejected or self.shut_down_at is not None:
             return
-        self._is_refused = True
-        if self._current is None and not self._waiting:
-            head = answer_head(status, [], b"Content-Length: 0", True)
+        self._is_rejected = True
+        if self._current is None and not self._queue:
+            head = response_head(status, [], b"Content-Length: 0", True)
             self.stream.write(head)
-            self.end()
+            self.shut_down()
         else:
             self._ends_after_queue = True
 
 
 class Server:
-    """Accepts callers' connections and keeps them within the limits.
+    """Accepts connections from callers and enforces the limits.
 
     Args:
-        loop: the loop it is served on.
+        loop: the loop that serves the connections.
         address: ``IP:port`` to listen on.
-        handler: called with each whole request.
-        maximum_connections: connections beyond these are closed as they come.
+        handler: called with each complete request.
+        maximum_connections: connections beyond these are closed at once.
     """
 
     def __init__(
@@ -349,7 +351,7 @@
         self.is_draining = False
         self._maximum_connections = maximum_connections
         self._connections: set[ServerConnection] = set()
-        self._listener = listen(loop, address, self._accepted)
+        self._listener = listen(loop, address, self._on_accept)
         loop.call_later(SWEEP_INTERVAL_S, self._sweep)
 
     @property
@@ -362,17 +364,17 @@
         """Whether any request is being received or served."""
         return any(connection.is_busy for connection in self._connections)
 
-    def forget(self, connection: ServerConnection) -> None:
-        """Drop a connection that has ended."""
+    def remove(self, connection: ServerConnection) -> None:
+        """Remove a closed connection."""
         self._connections.discard(connection)
 
-    def end_idle(self) -> None:
-        """End every connection on which no request is under way."""
+    def shut_down_idle(self) -> None:
+        """Shut down every connection that has no request in progress."""
         for connection in list(self._connections):
             if not connection.is_busy:
-                connection.end()
+                connection.shut_down()
 
-    def _accepted(self, sock: socket.socket) -> None:
+    def _on_accept(self, sock: socket.socket) -> None:
         if len(self._connections) >= self._maximum_connections:
             sock.close()
             return
@@ -381,5 +383,5 @@
     def _sweep(self) -> None:
         now = self.loop.now()
         for connection in list(self._connections):
-            connection.check_times(now)
+            connection.check_timeouts(now)
         self.loop.call_later(SWEEP_INTERVAL_S, self._sweep)
--- a/src/martenrun/router/lease.py
+++ b/src/martenrun/router/lease.py
@@ -11,18 +11,12 @@
 
 import attrs
 
-from martenrun.net.http import HttpAnswer
+from martenrun.net.http import HttpResponse
 from martenrun.net.loop import Loop
 from martenrun.router.dialect import Dialect
 from martenrun.router.knowledge import decoded
 from martenrun.router.log import log_event, log_trouble
-from martenrun.router.messages import (
-    Dataset,
-    HttpCall,
-    LeaseRecord,
-    StoredObject,
-    VersionAges,
-)
+from martenrun.router.messages import Dataset, HttpCall, LeaseRecord, StoredObject, VersionAges
 from martenrun.router.order_schedule import OrderSchedule
 from martenrun.router.store_client import HttpCaller
 
@@ -228,7 +222,7 @@
         self._held_until = 0.0
         self._not_before = math.inf
 
-        def on_response(response: HttpAnswer | None) -> None:
+        def on_response(response: HttpResponse | None) -> None:
             if response is not None and response.status == 200:
                 log_event("lease_released", token=record.fencing_token)
                 stored = decoded(response.body, self._dialect.read_stored)
@@ -265,16 +259,16 @@
             return self._dialect.create_object(Dataset.LEASES, self._name, spec)
         return self._dialect.replace_object(Dataset.LEASES, self._observed.stored, spec)
 
-    def _call(self, call: HttpCall, on_result: Callable[[HttpAnswer | None], None]) -> None:
+    def _call(self, call: HttpCall, on_result: Callable[[HttpResponse | None], None]) -> None:
         self._is_call_pending = True
 
-        def on_response(response: HttpAnswer | None) -> None:
+        def on_response(response: HttpResponse | None) -> None:
             self._is_call_pending = False
             on_result(response)
 
         self._store.call(call, CALL_TIMEOUT_S, on_response)
 
-    def _on_read(self, response: HttpAnswer | None) -> None:
+    def _on_read(self, response: HttpResponse | None) -> None:
         if response is not None and response.status == 404:
             self._write(self.fencing_token + 1)
         elif response is not None and response.status == 200:
@@ -282,7 +276,9 @@
         else:
             self._not_before = self._loop.now() + RETRY_PAUSE_S
 
-    def _on_written(self, response: HttpAnswer | None, record: LeaseRecord, sent_at: float) -> None:
+    def _on_written(
+        self, response: HttpResponse | None, record: LeaseRecord, sent_at: float
+    ) -> None:
         if response is not None and response.status in (200, 201):
             self._observe(response)
             self._held_until = sent_at + self._lease_s
@@ -317,7 +313,7 @@
             else:
                 on_done(is_stored)
 
-    def _observe(self, response: HttpAnswer) -> None:
+    def _observe(self, response: HttpResponse) -> None:
         stored = decoded(response.body, self._dialect.read_stored)
         if stored is None:
             self._not_before = self._loop.now() + RETRY_PAUSE_S
--- a/src/martenrun/router/weights_rollout.py
+++ b/src/martenrun/router/weights_rollout.py
@@ -8,7 +8,7 @@
 
 import attrs
 
-from martenrun.net.http import HttpAnswer
+from martenrun.net.http import HttpResponse
 from martenrun.router.knowledge import decoded
 from martenrun.router.lease import Lease
 from martenrun.router.log import log_event, log_trouble
@@ -271,7 +271,7 @@
             lambda response: self._on_report(response, state, model),
         )
 
-    def _on_report(self, response: HttpAnswer | None, state: RunnerState, model: str) -> None:
+    def _on_report(self, response: HttpResponse | None, state: RunnerState, model: str) -> None:
         instance = state.runner.instance
         load = self._loads.get(instance)
         target = self._world.weights.wanted[model].version
@@ -339,7 +339,7 @@
         )
 
     def _on_ordered(
-        self, response: HttpAnswer | None, state: RunnerState, model: str, version: int
+        self, response: HttpResponse | None, state: RunnerState, model: str, version: int
     ) -> None:
         # The order may have arrived as late as now.
         instance = state.runner.instance
--- a/tests/router/test_lease.py
+++ b/tests/router/test_lease.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from martenrun.platform import DIALECT
+from martenrun.platform import PLATFORM_ADAPTER
 from martenrun.router.lease import Lease
 from martenrun.router.messages import LeaseRecord
 
@@ -196,10 +196,12 @@
 def test_version_ages_survive_a_restart_of_all_routers(loop, store):
     """Guards against losing the deadlines of old weights when all routers restart at once."""
     known = {"m": [(2, 9_000), (3, 4_000)]}
-    first = Lease(loop, store, DIALECT, "weights", "n1#1", LEASE_S, lambda: known)
+    first = Lease(loop, store, PLATFORM_ADAPTER, "weights", "n1#1", LEASE_S, lambda: known)
     run_leases(loop, [first], 2.0)
     learned = []
-    restarted = Lease(loop, store, DIALECT, "weights", "n2#9", LEASE_S, dict, learned.append)
+    restarted = Lease(
+        loop, store, PLATFORM_ADAPTER, "weights", "n2#9", LEASE_S, dict, learned.append
+    )
     run_leases(loop, [restarted], 0.2)
     assert learned[0] == known
     held = run_leases(loop, [restarted], 6.0)
