--- a/deploy/build.py
+++ b/deploy/build.py
@@ -1,7 +1,7 @@
-"""Builds what routers run on, under ``target/``: libraries and the program of the interpreter.
+"""Builds the runtime of routers under ``target/``: libraries and an interpreter launcher.
 
-The interpreter's program ignores SIGHUP from its start on.  Where it cannot be built, a link to the
-interpreter takes its place, whose first 10 ms or so are not protected.
+The launcher ignores SIGHUP from its start on.  Where it cannot be compiled, a link to
+the plain interpreter replaces it, which SIGHUP terminates during about its first 10 ms.
 """
 
 import shlex
@@ -17,7 +17,7 @@
 
 
 def is_newer(product: Path, source: Path) -> bool:
-    """Whether a product exists and is newer than its source."""
+    """Return whether a build product exists and is newer than its source."""
     return product.exists() and product.stat().st_mtime > source.stat().st_mtime
 
 
@@ -28,7 +28,7 @@
 
 
 def runs_this_version(program: Path) -> bool:
-    """Whether a program runs the version of Python that builds."""
+    """Return whether a program runs the same Python version as this one."""
     code = "import sys; print(sys.version)"
     try:
         done = subprocess.run([str(program), "-S", "-c", code], capture_output=True, text=True)
@@ -38,10 +38,10 @@
 
 
 def build_interpreter(program: Path, compiler: str | None = None) -> bool:
-    """Compile the interpreter's program; return whether it runs.
+    """Compile the interpreter launcher; return whether it runs.
 
     Args:
-        compiler: a C compiler; None takes the one that built Python.
+        compiler: a C compiler; None selects the one that built Python.
     """
     library = Path(*(str(sysconfig.get_config_var(name)) for name in ("LIBDIR", "INSTSONAME")))
     compiler = compiler or shlex.split(sysconfig.get_config_var("CC") or "cc")[0]
@@ -57,9 +57,9 @@
 
 
 def link_interpreter(program: Path) -> None:
-    """Let the interpreter itself take the place of the program."""
+    """Link the plain interpreter in place of the launcher."""
     print(
-        "SIGHUP ends routers in their first 10 ms: install a C compiler and libpython",
+        "SIGHUP terminates routers in their first 10 ms: install a C compiler and libpython",
         file=sys.stderr,
     )
     program.unlink(missing_ok=True)
@@ -67,7 +67,7 @@
 
 
 def make_interpreter(program: Path, compiler: str | None = None) -> None:
-    """Build the interpreter's program, unless it is there for this source and interpreter."""
+    """Build the interpreter launcher unless it is up to date for this source and interpreter."""
     program.parent.mkdir(exist_ok=True)
     if is_newer(program, SOURCE) and runs_this_version(program):
         return
@@ -76,7 +76,7 @@
 
 
 def main() -> None:
-    """Build what is missing or older than its source."""
+    """Build the products that are missing or older than their source."""
     make_interpreter(TARGET / "python")
     if "--interpreter-only" not in sys.argv[1:] and not is_newer(TARGET / "deps", REQUIREMENTS):
         install_libraries(TARGET / "deps")
--- a/deploy/router.py
+++ b/deploy/router.py
@@ -1,10 +1,11 @@
-"""Starts a router on the users' platform, from a checkout and its installed libraries."""
+"""Starts a router on its platform from a checkout and its installed libraries."""
 
 import _signal
 
-# The default action of SIGHUP ends a process, until the router handles it.  Importing ``signal`` or
-# any other module first takes longer than the interpreter's own start.  Settings that change
-# meanwhile are read after this line, or noticed by the file's time.
+# The default action of SIGHUP terminates the process until the router installs its handler.
+# Importing ``signal`` or any other module first would take longer than the interpreter's own
+# startup.  Ignored reloads lose nothing: settings are read after this line, and later changes are
+# detected by the file's modification time.
 _signal.signal(_signal.SIGHUP, _signal.SIG_IGN)
 
 import gc  # noqa: E402
--- a/src/martenrun/router/__init__.py
+++ b/src/martenrun/router/__init__.py
@@ -1,1 +1,1 @@
-"""The router process: takes callers' requests, decides, and carries them to runners."""
+"""The router: admits callers' requests, chooses runners and forwards requests to them."""
--- a/src/martenrun/router/attempt.py
+++ b/src/martenrun/router/attempt.py
@@ -1,4 +1,4 @@
-"""One attempt of a request at one runner: what the runner answers, and what that teaches."""
+"""One attempt of a request at one runner, and the runner state learned from its response."""
 
 from typing import Protocol
 
@@ -14,10 +14,12 @@
 from martenrun.router.world import World
 
 FULL_MEMORY_S = 0.15
-"""How long a runner that had no room is passed over, in seconds."""
+"""How long a runner that refused a request as full is not chosen, in seconds."""
 
 STOOD_STILL_S = 0.2
-"""How much longer than it may take a connection must have taken to come up, in seconds."""
+"""A connect that exceeds CONNECT_TIMEOUT_S by more than this many seconds means the process was
+suspended meanwhile.
+"""
 
 STATUS_MISDIRECTED = 421
 STATUS_SERVER_ERROR = 500
@@ -25,40 +27,38 @@
 
 @attrs.frozen
 class AttemptLoad:
-    """What a runner has to do for a request: tokens to read, and tokens of memory."""
+    """Load that a request puts on a runner: tokens to prefill and KV cache tokens."""
 
     tokens_to_read: float
     tokens_held: int
 
 
 class AttemptOwner(Protocol):
-    """What an attempt reports to."""
+    """Callbacks for the events of an attempt."""
 
     def on_answer_head(self, attempt: "Attempt") -> None:
-        """A stream has begun."""
+        """Handle the response head of a stream."""
 
     def on_stream_data(self, data: bytes) -> None:
-        """A part of a stream; raises BrokenStreamError if it is amiss."""
+        """Handle received stream bytes; raises BrokenStreamError if they are invalid."""
 
     def on_stream_whole(self, attempt: "Attempt") -> None:
-        """A stream has ended whole."""
+        """Handle the regular end of a stream."""
 
     def on_whole(self, attempt: "Attempt") -> None:
-        """A buffered answer is whole."""
+        """Handle a complete buffered response."""
 
     def on_failure(self, failure: Failure, attempt: "Attempt") -> None:
-        """There is no answer that can be passed on."""
+        """Handle an attempt that failed without a usable response."""
 
 
 class Attempt:
     """One attempt of a request at one runner; see :class:`martenrun.net.client.AnswerReader`.
 
     Args:
-        world: everything that the router knows and uses.
-        admitted: the request.
-        owner: told how the attempt goes.
-        state: the runner.
-        load: what the runner has to read and to hold for it.
+        listener: receives the events of the attempt.
+        state: state of the runner.
+        load: load that the request adds to the runner.
         has_grant: whether the request may be sent even if the runner is rate-limited.
     """
 
@@ -95,16 +95,17 @@
         self._is_over = False
 
     def on_sent(self) -> None:
-        """The request leaves, unless the machine stood still while its connection came up.
+        """Mark the request as sent, unless it must be withdrawn.
 
-        The deadline that it names was reckoned before that.
+        It fails if the process was suspended during the connect, because its deadline header was
+        computed before.
         """
         if self._world.loop.now() - self._began_at > CONNECT_TIMEOUT_S + STOOD_STILL_S:
             self._fail(Failure.NOT_SENT)
             return
         limits = self._world.runner_limits
         if not self._has_grant and limits.limit(self.state.runner.instance) is not None:
-            # The limit was learned while connecting; this is not a failure of the runner.
+            # The limit was received while connecting; this is not a failure of the runner.
             limits.count("withheld")
             self.cancel()
             self._owner.on_failure(Failure.NOT_SENT, self)
@@ -112,7 +113,7 @@
         self.was_sent = True
 
     def on_head(self, status: int, headers: Headers, length: int | None) -> None:
-        """An answer has begun; one that cannot be the runner's ends the attempt."""
+        """Process the response head; an encoded or unsigned response fails the attempt."""
         now = self._world.loop.now()
         self.state.note_bytes(now)
         self.status = status
@@ -131,7 +132,7 @@
             self._owner.on_answer_head(self)
 
     def on_body(self, data: bytes) -> None:
-        """A part of the body."""
+        """Process received bytes of the body."""
         if self._is_over:
             return
         now = self._world.loop.now()
@@ -151,7 +152,7 @@
             self._fail(Failure.BROKEN)
 
     def on_complete(self) -> None:
-        """The answer is whole."""
+        """Process the end of a complete response."""
         if self._is_over:
             return
         if self._marks is not None and self._marks.is_not_executed:
@@ -171,7 +172,7 @@
             self._owner.on_whole(self)
 
     def on_broken(self, was_sent: bool) -> None:
-        """The connection ended before the answer did."""
+        """Process a connection that closed before the end of the response."""
         now = self._world.loop.now()
         if not was_sent and now - self._began_at >= CONNECT_TIMEOUT_S:
             self.state.unanswered_since = self._began_at
@@ -181,7 +182,7 @@
         self._fail(Failure.BROKEN if was_sent else Failure.NOT_SENT)
 
     def cancel(self) -> None:
-        """Give the attempt up: the runner sees the connection close."""
+        """Cancel the attempt by closing its connection to the runner."""
         if not self._is_over:
             self._finish()
             if self.connection is not None:
@@ -195,7 +196,7 @@
         self._owner.on_failure(failure, self)
 
     def _has_read(self) -> None:
-        """The prompt is read once the first token comes."""
+        """Subtract the prompt from the runner's pending prefill; the first token ends prefill."""
         if not self._to_read:
             return
         self.state.reading -= self._to_read
@@ -209,9 +210,10 @@
         self.state.note_ended()
 
     def _learn_limit(self, marks: AnswerMarks, now: float) -> None:
-        """Record the rate limit that the answer advertises, or that it advertises none.
+        """Record the rate limit that the response advertises, or its absence.
 
-        An answer without a limit counts only if signed: others may not come from the runner.
+        The absence of a limit counts only in signed responses: unsigned ones may not come from
+        the runner.
         """
         instance = self._world.dialect.answering_instance(self.headers)
         if self.status == STATUS_MISDIRECTED and instance not in (None, self.state.runner.name):
@@ -231,7 +233,7 @@
         instance = self._world.dialect.answering_instance(self.headers)
         wanted = None if model is None else self._world.weights.wanted.get(model)
         if instance != self.state.runner.name or model is None or wanted is None:
-            # Another runner has the address now.
+            # Another runner uses this address.
             self.state.loading_until = now + LOADING_MEMORY_S
         elif wanted.version > (self.state.weights_version(model) or 0):
             self.state.learn_weights(model, wanted.version)
--- a/src/martenrun/router/caller_stream.py
+++ b/src/martenrun/router/caller_stream.py
@@ -1,4 +1,4 @@
-"""The caller's side of a streamed answer: whole events only, and how long its pauses were."""
+"""Streams complete events to a caller and measures the gaps between them."""
 
 from martenrun.net.http import end_to_end
 from martenrun.net.loop import Loop
@@ -8,14 +8,14 @@
 
 
 class CallerStream:
-    """Passes events on to one caller, over all runners that make them.
+    """Forwards one stream of events to a caller, across all runners that produce parts of it.
 
     Args:
-        last_event_id: the last event that the caller has from an earlier request.
+        last_event_id: id of the last event that the caller has received before this request.
 
     Attributes:
-        first_event_at: when the first event was passed on, or None.
-        longest_gap_s: the longest pause between two events, in seconds.
+        first_event_at: when the first event was forwarded, or None.
+        longest_gap_s: the longest time between two events, in seconds.
     """
 
     def __init__(self, loop: Loop, exchange: Exchange, last_event_id: int) -> None:
@@ -28,20 +28,20 @@
 
     @property
     def last_event_id(self) -> int:
-        """The last event that the caller has."""
+        """Id of the last event that the caller has."""
         return self._splitter.last_event_id
 
     @property
     def has_rest(self) -> bool:
-        """Whether a part of an event has come without its end."""
+        """Whether an incomplete event is buffered."""
         return self._splitter.has_rest
 
     def restart(self) -> None:
-        """Drop the part of an event that a runner broke off in."""
+        """Discard the incomplete event of a runner whose stream broke."""
         self._splitter.restart()
 
     def pass_on(self, attempt: Attempt, data: bytes) -> None:
-        """Pass on the events that are whole; raises BrokenStreamError."""
+        """Forward the complete events to the caller; raises BrokenStreamError."""
         now = self._loop.now()
         for event in self._splitter.feed(data):
             if self.first_event_at is None:
@@ -53,12 +53,12 @@
             self._exchange.send(event.data)
 
     def begin(self, attempt: Attempt) -> None:
-        """Send the head of the first runner's answer, once."""
+        """Send the response head of the first runner, once."""
         if not self._exchange.has_started:
             self._exchange.start(attempt.status, end_to_end(attempt.headers), None)
 
     def first_ms(self, began_at: float) -> float | None:
-        """Return how long after a time the first event was passed on, in milliseconds."""
+        """Return the milliseconds from a start time to the first event, or None without one."""
         if self.first_event_at is None:
             return None
         return round((self.first_event_at - began_at) * 1000, 1)
--- a/src/martenrun/router/dialect.py
+++ b/src/martenrun/router/dialect.py
@@ -1,7 +1,7 @@
-"""What the router asks of the adapter of the platform it runs on.
+"""Interface of the adapter for the platform that a router runs on.
 
-The adapter translates between these types and the platform's names, formats and calls; it
-decides nothing.
+The adapter translates between the router's types and the platform's names, formats and calls; it
+contains no routing logic.
 """
 
 from collections.abc import Callable, Sequence
@@ -32,11 +32,11 @@
 
 @attrs.frozen
 class SettingsSource:
-    """Where settings come from.
+    """Source of a router's settings.
 
     Attributes:
-        load: reads them; raises SettingsError that names every fault.
-        stamp: returns a number that changes whenever they may have changed.
+        load: reads the settings; raises SettingsError that names every error.
+        stamp: returns a number that changes whenever the settings may have changed.
     """
 
     load: Callable[[], RouterSettings]
@@ -45,32 +45,34 @@
 
 @attrs.frozen
 class Dialect:
-    """The platform's manner of speaking, as functions.
+    """The platform's formats and protocols, as functions.
 
-    Functions that read raise ValueError for what they cannot understand, and UnreadableError, which
-    is one, for the store's answers, the contents of objects and reports of runners.  A page, or an
-    answer of a watch, leaves out what cannot be read and keeps the rest.
+    Functions that decode raise ValueError for invalid input, and its subclass UnreadableError for
+    responses of the store, contents of objects and reports of runners.  For pages and watch
+    responses, undecodable entries are omitted and the rest is returned.
 
     Attributes:
-        read_call: a caller's request.
-        runner_headers: fields of the request as it is sent to a runner.
-        request_id_field: the field that carries a request's id, in lower case.
-        read_marks: a runner's answer; takes its status and fields.
-        answering_instance: the runner's instance that an answer names.
-        list_objects: a page of a dataset after a name.
-        watch_objects: changes of a dataset after a revision, waiting so many seconds.
-        read_object: one object of a dataset by name.
-        create_object, replace_object: writes; the second only at the object's revision.
-        read_page, read_changes, read_stored: bodies of the store's answers.
-        read_configuration, read_runner, read_weights, read_lease: contents of objects.
-        lease_spec: content of a lease object.
-        read_blame, blame_spec: what routers keep of requests that end runners.
-        read_contacts, contacts_spec: addresses of some living routers.
-        order_weights, read_order_outcome: an order and the status it is answered with.
-        ask_report, read_report: a runner's report.
-        directory_zone: the asker's zone if a request asks for addresses, else None.
-        directory_answer: body of that answer, from addresses and seconds to live.
-        is_ready_question: whether a request asks if the router is ready.
+        read_call: parses a caller's request.
+        runner_headers: returns the headers of the request as sent to a runner.
+        request_id_field: name of the header that carries a request's id, in lower case.
+        read_response_metadata: parses the status and headers of a runner's response.
+        responding_instance: returns the runner instance that a response's headers name.
+        list_objects: builds the request for a page of a dataset after a name.
+        watch_objects: builds the request for changes of a dataset after a revision, with the
+            seconds to wait for them.
+        read_object: builds the request for one object of a dataset by name.
+        create_object, replace_object: build write requests; a replacement is conditional on the
+            object's revision.
+        read_page, read_changes, read_stored: decode bodies of the store's responses.
+        read_configuration, read_runner, read_weights, read_lease: decode contents of objects.
+        lease_spec: encodes the content of a lease object.
+        read_crash_records, crash_records_spec: decode and encode crash records of requests.
+        read_peer_addresses, peer_addresses_spec: decode and encode addresses of live routers.
+        order_weights, read_order_outcome: build an order and decode the status of its response.
+        report_request, read_report: build the request for a runner's report and decode it.
+        directory_zone: returns the requester's zone for a directory request, else None.
+        directory_response: encodes the directory's response from addresses and a TTL in seconds.
+        is_readiness_request: returns whether a request asks if the router is ready.
     """
 
     read_call: Callable[[HttpRequest], Call]
--- a/src/martenrun/router/entry.py
+++ b/src/martenrun/router/entry.py
@@ -1,4 +1,4 @@
-"""What a router answers for itself: whether it is ready, and the addresses of live routers."""
+"""Endpoints for router discovery: this router's readiness and the addresses of live routers."""
 
 from collections.abc import Callable
 
@@ -8,18 +8,18 @@
 from martenrun.router.peers import Peers
 
 DIRECTORY_TTL_S = 1.0
-"""How long callers may use an answer of the directory, in seconds."""
+"""How long callers may cache a response of the directory, in seconds."""
 
 MOST_ADDRESSES = 64
-"""Most addresses in one answer of the directory."""
+"""Maximum number of addresses in one response of the directory."""
 
 
 class Entry:
-    """Serves the questions of callers and platform about the routers.
+    """Serves readiness checks and the directory of routers.
 
     Args:
-        refresh: brings this router's record up to date.
-        is_ready: whether this router serves requests.
+        refresh: updates this router's own record.
+        is_ready: returns whether this router serves requests.
     """
 
     def __init__(
@@ -35,14 +35,14 @@
         self._is_ready = is_ready
 
     def serve_ready(self, exchange: Exchange) -> None:
-        """Answer whether this router is ready."""
+        """Respond with 200 if this router is ready, else with 503."""
         if not self._dialect.is_ready_question(exchange.request):
             exchange.respond(404, [])
         else:
             exchange.respond(200 if self._is_ready() else 503, [])
 
     def serve_directory(self, exchange: Exchange) -> None:
-        """Answer with the addresses of routers for a caller's zone."""
+        """Respond with the addresses of routers for a caller's zone."""
         zone = self._dialect.directory_zone(exchange.request)
         if zone is None:
             exchange.respond(404, [])
@@ -55,7 +55,10 @@
         exchange.respond(200, [(b"Content-Type", b"application/json")], body)
 
     def _addresses(self, zone: str) -> list[str]:
-        """Return staying routers with recent knowledge, those of the zone if there are two."""
+        """Return routers that are not stopping and have a recent configuration.
+
+        Only those of the zone are returned if the zone has at least two.
+        """
         own = self._peers.own
         self._refresh(own)
         records = [record for record in [own, *self._peers.live()] if not record.is_leaving]
--- a/src/martenrun/router/event_stream.py
+++ b/src/martenrun/router/event_stream.py
@@ -1,29 +1,29 @@
-"""Whole events of a ``text/event-stream``, with their ids.
+"""Splits a ``text/event-stream`` into complete events with their ids.
 
-Only whole events are passed on, so that a stream that breaks in the middle of one can go on
-elsewhere after the last whole one.
+Only complete events are forwarded, so that a stream broken inside an event can be resumed at
+another runner after the last complete one.
 """
 
 import attrs
 
 MAXIMUM_EVENT_BYTES = 1_048_576
-"""Longest event that is waited for."""
+"""Maximum size of one event."""
 
 
 class BrokenStreamError(ValueError):
-    """The events do not follow each other as those of one stream."""
+    """An event is malformed, too long or out of sequence."""
 
 
 @attrs.frozen
 class StreamEvent:
-    """One whole event as sent, with its blank line; ``event_id`` None if it names none."""
+    """One complete event with its final blank line; ``event_id`` is None if it has no id."""
 
     data: bytes
     event_id: int | None
 
 
 class EventSplitter:
-    """Cuts a byte stream into whole events and checks that their ids rise one by one.
+    """Splits a byte stream into complete events and checks that their ids are consecutive.
 
     Args:
         last_event_id: id of the last event that the caller has.
@@ -35,15 +35,15 @@
 
     @property
     def has_rest(self) -> bool:
-        """Whether a part of an event waits for its end."""
+        """Whether an incomplete event is buffered."""
         return bool(self._rest)
 
     def restart(self) -> None:
-        """Drop a part of an event: another runner goes on after the last whole one."""
+        """Discard an incomplete event; another runner resumes after the last complete one."""
         self._rest = bytearray()
 
     def feed(self, data: bytes) -> list[StreamEvent]:
-        """Return the events that are now whole; raises BrokenStreamError if one is amiss."""
+        """Return the events completed by these bytes; raises BrokenStreamError on invalid ones."""
         self._rest += data
         events = []
         while True:
@@ -56,7 +56,7 @@
             self._check(event)
             events.append(event)
         if len(self._rest) > MAXIMUM_EVENT_BYTES:
-            raise BrokenStreamError("an event is too long")
+            raise BrokenStreamError(f"event exceeds {MAXIMUM_EVENT_BYTES} bytes")
         return events
 
     def _check(self, event: StreamEvent) -> None:
@@ -73,5 +73,5 @@
             try:
                 return int(line[3:])
             except ValueError as exc:
-                raise BrokenStreamError("an event's id is no number") from exc
+                raise BrokenStreamError("event id is not an integer") from exc
     return None
--- a/src/martenrun/router/figures.py
+++ b/src/martenrun/router/figures.py
@@ -1,4 +1,4 @@
-"""The figures of a router that are read when they are asked for."""
+"""Gauges of a router, read when the metrics are requested."""
 
 from collections.abc import Callable
 
@@ -13,10 +13,11 @@
 
 @attrs.frozen
 class FigureSources:
-    """What the figures are read from.
+    """Components that the gauges are read from.
 
     Attributes:
-        requests, connections: return how many requests are under way, and callers' connections.
+        requests: returns the number of requests in progress.
+        connections: returns the number of callers' connections.
     """
 
     world: World
@@ -28,7 +29,7 @@
 
 
 def read_samples(sources: FigureSources) -> list[Sample]:
-    """Return the figures as they are now."""
+    """Return the current values of all gauges."""
     world = sources.world
     now = world.loop.now()
     states = world.pool.all_states()
--- a/src/martenrun/router/forwarding.py
+++ b/src/martenrun/router/forwarding.py
@@ -1,4 +1,4 @@
-"""One caller's request on its way: sent to runners, its answer carried back."""
+"""Forwards one caller's request to runners and returns the response."""
 
 from collections.abc import Callable
 
@@ -22,17 +22,15 @@
 STATUS_UNAVAILABLE = 503
 
 LOOK_AGAIN_S = 0.025
-"""How long a request waits until runners are looked at again, in seconds."""
+"""Delay before a waiting request tries again to choose a runner, in seconds."""
 
 
 class Forwarding:
-    """Carries one request.
+    """Forwards one admitted request: chooses runners, repeats failed attempts, responds.
 
     Args:
-        world: everything that the router knows and uses.
-        exchange: the caller's side.
-        admitted: the request.
-        on_end: called once when the request is over.
+        exchange: HTTP exchange with the caller.
+        on_end: called once when the request has ended.
     """
 
     def __init__(
@@ -65,11 +63,11 @@
 
     @property
     def admitted(self) -> Admitted:
-        """The request."""
+        """The admitted request."""
         return self._admitted
 
     def start(self) -> None:
-        """Take the request up: it is sent to its first runner."""
+        """Obtain a quota grant if one is needed, then send the request to its first runner."""
         table = self._world.configuration.table
         age_s = self._world.configuration.age_s(self._world.loop.now())
         self._trail.note(
@@ -91,7 +89,7 @@
         if grant.is_granted:
             self._take_up()
         else:
-            # What is over its tenant's limit takes no part in the demand that others wait behind.
+            # Requests over their tenant's limit do not count as demand in overload control.
             reason = "over_limit" if grant.is_sure else "limit_unsure"
             status = STATUS_TOO_MANY if grant.is_sure else STATUS_UNAVAILABLE
             self._refuse(reason, grant.wait_s if grant.is_sure else 0.0, status)
@@ -104,12 +102,12 @@
         if self.is_over:
             return
         if self._world.loop.now() >= self._admitted.give_up_at:
-            # The machine stood still: this look was due before the end of the deadline.
+            # The process was suspended: this call was scheduled before the deadline.
             self._on_timeout()
             return
         held_s = self._choice.held_back_s()
         if held_s:
-            # It has ended all runners that ran it: refused here it ends no more of them.
+            # All runners that ran this request crashed; refusing it prevents further crashes.
             fingerprint = self._choice.known_fingerprint() or b""
             self._trail.note("ends_runners", fingerprint=fingerprint.hex())
             self._refuse("ends_runners", held_s)
@@ -125,7 +123,7 @@
             self._send(state, self._look_for_runner)
 
     def _refuse_for_overload(self, state: RunnerState) -> None:
-        """Refuse at once: prompts that waited here would all follow when the backlog is read."""
+        """Refuse at once: prompts waiting here would all be sent when the backlog is prefilled."""
         wait_s = self._choice.wait_s(state)
         self._trail.note(
             "held_back",
@@ -184,21 +182,21 @@
         except OSError:
             attempt.on_broken(False)
 
-    # What an attempt reports
+    # Callbacks of an attempt
 
     def on_answer_head(self, attempt: Attempt) -> None:
-        """A stream has begun."""
+        """Record that a stream's response head has arrived."""
         self._trail.note("answering", instance=attempt.state.runner.instance, status=attempt.status)
 
     def on_stream_data(self, data: bytes) -> None:
-        """Pass on the events that are whole; raises BrokenStreamError."""
+        """Forward the complete events to the caller; raises BrokenStreamError."""
         if self._attempt is not None:
             self._stream.pass_on(self._attempt, data)
         if self._exchange.is_congested:
             self._pause(True)
 
     def on_stream_whole(self, attempt: Attempt) -> None:
-        """The stream has ended whole."""
+        """End the response if the stream ended after a complete event, else fail the attempt."""
         if self._stream.has_rest:
             self.on_failure(Failure.BROKEN, attempt)
             return
@@ -208,7 +206,7 @@
         self._end("served", attempt)
 
     def on_whole(self, attempt: Attempt) -> None:
-        """A buffered answer is whole."""
+        """Return a complete buffered response, or retry a server error of a repeatable request."""
         self._world.suspects.note_whole(self._choice.known_fingerprint())
         if attempt.status >= STATUS_SERVER_ERROR and self._admitted.route.may_repeat:
             self.on_failure(Failure.RUN_FAILED, attempt)
@@ -223,7 +221,7 @@
         self._end("served", attempt)
 
     def on_failure(self, failure: Failure, attempt: Attempt) -> None:
-        """An attempt has failed: go on as :func:`next_step` says."""
+        """Handle a failed attempt by the step that :func:`next_step` returns."""
         if self.is_over:
             return
         self._attempt = None
@@ -237,14 +235,15 @@
         suspects = self._world.suspects
         suspects.note_broken(attempt.state, self._exchange.request, self._admitted)
         if self._admitted.route.may_repeat:
-            # Milliseconds later it is known whether the runner has ended under this request.
+            # Wait for the crash check: it finds within milliseconds whether the runner crashed
+            # while serving this request.
             instance = attempt.state.runner.instance
             suspects.watch.when_known(instance, lambda: self._go_on(failure, attempt))
         else:
             self._go_on(failure, attempt)
 
     def _go_on(self, failure: Failure, attempt: Attempt) -> None:
-        """Send the request again or end it."""
+        """Retry the request at another runner or end it."""
         if self.is_over:
             return
         now = self._world.loop.now()
@@ -264,7 +263,7 @@
             self._answer(502, "unknown", attempt)
 
     def _send_again(self, state: RunnerState, failure: Failure, attempt: Attempt) -> None:
-        """Send it to another runner; another run counts against its tenant's limit as well."""
+        """Send the request to another runner; a repeated run also counts against the quota."""
         if not self._quota.needs_grant:
             self._send(state, lambda: self._go_on(failure, attempt))
             return
@@ -295,10 +294,10 @@
         budget = world.budget(self._admitted.service)
         return budget.may_repeat(world.loop.now(), world.node_count())
 
-    # Ends
+    # Ending the request
 
     def _wait_or_refuse(self, reason: str) -> None:
-        """Look again in a moment, or refuse while the caller can still be served in time."""
+        """Try again shortly, or refuse early enough for the caller to be served elsewhere."""
         waited_s = self._world.loop.now() - self._began_at
         limit_s = self._admitted.route.objective_s * self._figures.waiting_share
         limited_s = self._choice.limited_for_s()
@@ -315,7 +314,7 @@
     def _refuse(
         self, reason: str, back_in_s: float = 0.0, status: int = STATUS_UNAVAILABLE
     ) -> None:
-        """Say that the request has not run and when to come back."""
+        """Respond that the request has not run, with a Retry-After time."""
         retry_after = b"%.2f" % max(self._figures.retry_after_s, back_in_s)
         self._exchange.respond(status, [(b"Retry-After", retry_after)])
         self._end("refused", None, reason=reason)
@@ -340,7 +339,7 @@
             self._refuse("timed_out")
 
     def leave_old_weights(self, now: float) -> None:
-        """Take the request from a runner whose weights are too old for it to begin there."""
+        """Move the request off a runner whose weights are too old to start it."""
         attempt = self._attempt
         model = self._admitted.call.model
         if attempt is None or model is None or attempt.has_begun:
@@ -351,7 +350,10 @@
             self.on_failure(Failure.BROKEN, attempt)
 
     def leave_ended_runner(self) -> None:
-        """Go on elsewhere if the runner has started anew: this run has ended, told or not."""
+        """Move the request to another runner if its runner instance has been replaced.
+
+        The run on the old instance is lost even if its connection has not been closed.
+        """
         attempt = self._attempt
         if attempt is not None and self._world.runners.has_ended(attempt.state.runner):
             attempt.cancel()
@@ -360,7 +362,7 @@
             self.on_failure(Failure.BROKEN, attempt)
 
     def shut_down(self) -> None:
-        """Break the request off because the process ends."""
+        """End the request because the process stops."""
         self._on_timeout()
 
     def _end(self, outcome: str, attempt: Attempt | None, reason: str | None = None) -> None:
--- a/src/martenrun/router/internal_interface.py
+++ b/src/martenrun/router/internal_interface.py
@@ -1,6 +1,6 @@
-"""What a router serves on its internal address, beside other routers' questions for knowledge.
+"""HTTP interface on a router's internal address, which is not reachable from outside.
 
-Nobody outside reaches this address.
+It serves metrics and status pages, and relays store data to other routers.
 """
 
 from martenrun.net.http import STATUS_OK
@@ -13,11 +13,11 @@
 from martenrun.router.suspects import Suspects
 
 METRICS_PATH = b"/metrics"
-"""Path of the figures."""
+"""Path of the metrics page."""
 
 
 class InternalInterface:
-    """Serves figures, requests held back, tenants' accounts, and the knowledge of the store."""
+    """Serves metrics, blocked requests, tenants' quota accounts, and cached store data."""
 
     def __init__(
         self, metrics: Metrics, suspects: Suspects, quotas: QuotaGate, relay: RelaySource
@@ -28,7 +28,7 @@
         self._relay = relay
 
     def serve(self, exchange: Exchange) -> None:
-        """Serve other routers and whoever reads the figures."""
+        """Serve a request of another router, an operator or a metrics collector."""
         target = exchange.request.target
         if target == METRICS_PATH:
             content = [(b"Content-Type", b"text/plain")]
--- a/src/martenrun/router/log.py
+++ b/src/martenrun/router/log.py
@@ -1,9 +1,9 @@
-"""Structured log lines of a router process: one JSON object a line on standard output.
+"""Structured log of a router process: one JSON object per line on standard output.
 
-Writing never blocks: lines wait in a bounded buffer while the reader has stopped, and what does
-not fit is counted.  Each kind of event has a budget of lines a second; lines about a failing
-request have one of their own, so that routine lines cannot push them out.  Neither keys nor
-prompts are ever passed in.
+Writing never blocks: lines are buffered up to a limit while the reader does not read, and lines
+that do not fit are counted.  Each kind of event has a budget of lines per second; lines about
+failures share a separate budget, so that routine lines cannot displace them.  API keys and prompts
+are never logged.
 """
 
 import collections
@@ -16,13 +16,13 @@
 from martenrun.net import clock
 
 LINES_PER_KIND_PER_S = 20
-"""Lines of one kind of event written in one second."""
+"""Maximum number of lines per second for one kind of event."""
 
 FAILURE_LINES_PER_S = 200
-"""Lines about failing requests and changed beliefs written in one second, over all kinds."""
+"""Maximum number of lines per second about failures and state changes, over all kinds."""
 
 BUFFERED_BYTES = 262_144
-"""Most bytes that wait for a reader that has stopped."""
+"""Lines are dropped while more bytes than this are waiting to be written."""
 
 Value = str | int | float | bool | None
 
@@ -30,11 +30,10 @@
 
 
 class EventLog:
-    """Writes the lines of one process.
+    """Writes the log lines of one process.
 
     Args:
-        output: file descriptor written to; made non-blocking.
-        clock: wall clock, used for the time in each line only.
+        output: file descriptor to write to; made non-blocking.
     """
 
     def __init__(self, output: int = 1) -> None:
@@ -47,7 +46,7 @@
         self._buffer = bytearray()
 
     def open(self, node: str) -> None:
-        """Begin with the node's name."""
+        """Set the node's name and make the output non-blocking."""
         self._node = node
         try:
             os.set_blocking(self._output, False)
@@ -55,7 +54,7 @@
             self._output = -1
 
     def write(self, event: str, is_failure: bool, fields: dict[str, Value]) -> None:
-        """Write one line, unless the budget of its kind is spent."""
+        """Write one line, unless the budget of its kind is used up."""
         second = int(clock.now())
         if second != self._second:
             self._begin_second(second)
@@ -69,7 +68,7 @@
         self.flush()
 
     def flush(self) -> None:
-        """Write what waits, as far as the reader takes it."""
+        """Write as much of the buffer as possible without blocking."""
         if not self._buffer or self._output < 0:
             return
         try:
@@ -110,17 +109,17 @@
 
 
 def log_event(event: str, **fields: Value) -> None:
-    """Write one routine line."""
+    """Log a routine event."""
     EVENT_LOG.write(event, False, fields)
 
 
 def log_trouble(event: str, **fields: Value) -> None:
-    """Write one line about a failing request or a lost dependency."""
+    """Log a failing request, a lost dependency or another event that must not be displaced."""
     EVENT_LOG.write(event, True, fields)
 
 
 def log_failure(event: str, exc: BaseException) -> None:
-    """Write one line about a fault of the program."""
+    """Log an unexpected exception with the innermost frames of its traceback."""
     place = traceback.extract_tb(exc.__traceback__)[-4:]
     where = " < ".join(f"{frame.name}:{frame.lineno}" for frame in reversed(place))
     log_trouble(event, fault=type(exc).__name__, text=str(exc)[:200], where=where)
--- a/src/martenrun/router/messages.py
+++ b/src/martenrun/router/messages.py
@@ -1,6 +1,6 @@
-"""Typed messages between the router's parts and the adapter of the platform it runs on.
+"""Types exchanged between the router's components and the platform adapter.
 
-Times are seconds unless a name says otherwise; ``*_at`` is a time of the steady clock.
+Times are in seconds unless a name says otherwise; ``*_at`` is a time of the monotonic clock.
 """
 
 import enum
@@ -14,13 +14,13 @@
 
 
 class UnreadableError(ValueError):
-    """Bytes or an object that are not what the platform should hold there."""
+    """Data of the platform's store or of a runner cannot be decoded."""
 
-    remedy = "Look at the object in the platform's store and at who has written it."
+    remedy = "Check the object in the platform's store and which client wrote it."
 
 
 class RouteKind(enum.StrEnum):
-    """How often a request of a route may run, and how it is answered."""
+    """Whether requests of a route may run more than once, and whether responses are streamed."""
 
     SAFE = "safe"
     UNSAFE = "unsafe"
@@ -29,7 +29,7 @@
 
 @attrs.frozen
 class WeightedService:
-    """A service that takes a share of a route's requests."""
+    """A service that receives a share of a route's requests."""
 
     service: str
     weight: float
@@ -37,7 +37,7 @@
 
 @attrs.frozen
 class Route:
-    """Where requests of a host and path go, and what they are promised."""
+    """Destination of requests for a host and path prefix, and their guarantees."""
 
     name: str
     host: str
@@ -53,7 +53,7 @@
 
     @property
     def may_repeat(self) -> bool:
-        """Whether a request that may have run can be sent again."""
+        """Whether a request that may have run may be sent again."""
         if self.kind is RouteKind.STREAM:
             return self.is_resumable
         return self.kind is RouteKind.SAFE
@@ -61,7 +61,7 @@
 
 @attrs.frozen
 class EngineLimits:
-    """What one model engine of a service can carry."""
+    """Capacity of one model engine of a service."""
 
     slots: int
     cache_tokens: int
@@ -70,7 +70,7 @@
 
 @attrs.frozen
 class Service:
-    """A group of runners; one with an engine serves models."""
+    """A group of runners; with ``engine`` set they serve models."""
 
     name: str
     maximum_connections: int
@@ -79,7 +79,7 @@
 
 @attrs.frozen
 class KeptCacheStore:
-    """A store that engines save KV cache to and fetch it from."""
+    """A store that engines save KV cache blocks to and fetch them from."""
 
     address: str
     zone: str
@@ -87,7 +87,7 @@
 
 @attrs.frozen
 class Tenant:
-    """Who holds a key; ``limit`` is None where it may use what it asks for."""
+    """Owner of API keys; ``limit`` is None if its usage is not limited."""
 
     name: str
     priority: int | None
@@ -97,7 +97,7 @@
 
 @attrs.frozen
 class Configuration:
-    """Everything that the operator configures, as one version."""
+    """One version of everything that the operator configures."""
 
     version: int
     routes: tuple[Route, ...]
@@ -110,12 +110,12 @@
 
 @attrs.frozen
 class Runner:
-    """One start of a runner, as the runner list tells it.
+    """One runner instance, as listed in the platform's store.
 
     Attributes:
-        instance: the key of this start, see :mod:`martenrun.router.runner_life`.
-        name: its id on the platform, which later starts may have as well.
-        born_ms: when it started by its own clock, in milliseconds, or None if it does not tell.
+        instance: the instance key, see :mod:`martenrun.router.runner_life`.
+        name: the runner's id on the platform, which later instances may share.
+        started_at_ms: start time by the runner's own clock, in milliseconds; None if not reported.
     """
 
     instance: str
@@ -131,7 +131,7 @@
 
 @attrs.frozen
 class WantedWeights:
-    """The version of a model's weights that the operator has named."""
+    """The version of a model's weights that the operator wants served."""
 
     model: str
     version: int
@@ -139,7 +139,7 @@
 
 @attrs.frozen
 class PromptPart:
-    """A part of a prompt, shared between requests that begin alike."""
+    """A part of a prompt, shared between requests with the same beginning."""
 
     part_id: bytes
     tokens: int
@@ -147,10 +147,10 @@
 
 @attrs.frozen
 class Call:
-    """What the router reads from a caller's request.
+    """Values parsed from a caller's request.
 
-    ``counted_tokens`` are those of its prompt and of its longest answer together, or None if it
-    tells of none.
+    ``counted_tokens`` is the number of prompt tokens plus the maximum number of output tokens, or
+    None if the request does not state them.
     """
 
     request_id: bytes
@@ -167,15 +167,14 @@
 
 @attrs.frozen
 class Admitted:
-    """A request that may be served.
+    """A request that passed admission.
 
     Attributes:
-        call: what was read from it.
-        route: its route.
-        tenant: who sent it, or None on open routes.
-        service: the service that the route's split chose for it.
-        deadline_at: steady time at which the caller leaves.
-        give_up_at: steady time at which it gets its final answer.
+        call: values parsed from the request.
+        tenant: owner of the API key, or None on open routes.
+        service: the service that the route's traffic split chose.
+        deadline_at: monotonic time at which the caller stops waiting.
+        give_up_at: monotonic time by which the caller gets a final response.
     """
 
     call: Call
@@ -188,7 +187,7 @@
 
 @attrs.frozen
 class Dispatch:
-    """What the router adds to a request that it sends to a runner, which is named by its id."""
+    """Values that the router adds to a request for a runner; ``runner`` is its platform id."""
 
     runner: str
     deadline_s: float
@@ -203,7 +202,7 @@
 
 @attrs.frozen
 class AdvertisedLimit:
-    """A runner's rate limit, as advertised in an answer; all routers together share it.
+    """A runner's rate limit, as advertised in a response; all routers together share it.
 
     Attributes:
         requests_per_s: 0 or more; None if the advertised value is not a valid rate.
@@ -216,10 +215,13 @@
 
 @attrs.frozen
 class AnswerMarks:
-    """What a runner's answer says of itself beside its status and body.
+    """Metadata of a runner's response, parsed from its status and headers.
 
     Attributes:
-        rate_limit: the limit that the answer advertises; None if it advertises none.
+        is_signed: whether the response carries the runner's stamp.
+        is_not_executed: whether the runner states that it has not run the request.
+        is_encoded: whether the body has a content encoding.
+        rate_limit: the limit that the response advertises; None if it advertises none.
     """
 
     is_signed: bool
@@ -229,7 +231,7 @@
 
 
 class Dataset(enum.Enum):
-    """What a router follows in the platform's store."""
+    """A set of objects that routers follow in the platform's store."""
 
     CONFIGURATION = "configuration"
     RUNNERS = "runners"
@@ -241,7 +243,7 @@
 
 @attrs.frozen
 class StoredObject:
-    """One object of the store; ``spec`` is its content as decoded."""
+    """One object of the store; ``spec`` is its decoded content."""
 
     name: str
     revision: int
@@ -250,7 +252,7 @@
 
 @attrs.frozen
 class StoreEvent:
-    """A change of one object."""
+    """A change or deletion of one object."""
 
     stored: StoredObject
     is_gone: bool
@@ -258,10 +260,10 @@
 
 @attrs.frozen
 class StorePage:
-    """A page of a list.
+    """A page of listed objects.
 
-    ``next_after`` is where the next one begins, or None at the end; ``unreadable`` counts objects
-    that are left out because not even their names can be read.
+    ``next_after`` is the name after which the next page starts, or None at the end.
+    ``unreadable`` counts objects that are omitted because not even their names can be decoded.
     """
 
     objects: tuple[StoredObject, ...]
@@ -272,7 +274,7 @@
 
 @attrs.frozen
 class StoreChanges:
-    """What a watch answers; ``unreadable`` counts events that are left out, as in a page."""
+    """Response of a watch; ``unreadable`` counts omitted events, as in :class:`StorePage`."""
 
     events: tuple[StoreEvent, ...]
     revision: int
@@ -290,25 +292,26 @@
 
 
 VersionAges = dict[str, list[tuple[int, int]]]
-"""For each model its last versions, and for how long each has been known, in milliseconds."""
+"""For each model its recent versions as (version, milliseconds since it was first known)."""
 
 
 @attrs.frozen
 class LeaseRecord:
-    """Content of a lease object: who holds it and with which fencing token.
+    """Content of a lease object: its holder and the holder's fencing token.
 
     Attributes:
-        holder: one life of a router, as its address and its incarnation.
+        holder: the router that holds the lease, as address and incarnation.
         fencing_token: token of the holder's orders.
-        renewals: only rises, so that each renewal gives the object a new revision.
-        pause_s: how long after this write the holder gives no orders yet, in seconds.
-        released_idle_s: None while it is held; once given up, how long before this write the last
-            order lies back, in seconds.
-        ages_ms: for each model how long its last versions had been known when this was written, as
-            (version, milliseconds): what all routers know is gone when all lose power at once.
-        ordered_ms: for each runner how long before this write it may have been ordered, in
-            milliseconds; 0 where the holder may order it from now on.  None where nobody tells:
-            any runner may have been ordered.
+        renewals: increases with each renewal, so that the object gets a new revision.
+        pause_s: how long after this write the holder sends no orders, in seconds.
+        released_idle_s: None while the lease is held; after its release, the seconds between the
+            last order and this write.
+        ages_ms: for each model its recent versions as (version, milliseconds since it was first
+            known) at this write.  Stored because the routers' own state is lost when all of them
+            lose power at once.
+        ordered_ms: for each runner the milliseconds between its last possible order and this
+            write; 0 if the holder may send it orders from this write on.  None if unknown: any
+            runner may have received an order.
     """
 
     holder: str
@@ -321,16 +324,16 @@
 
     @property
     def router(self) -> str:
-        """Address of the router that holds it, whichever of its lives."""
+        """Address of the router that holds the lease, without its incarnation."""
         return self.holder.partition("#")[0]
 
 
 @attrs.frozen
 class WeightsOrder:
-    """An order to a runner, named by its id, to load a version of a model's weights.
+    """An order to a runner, identified by its platform id, to load a version of model weights.
 
-    ``lets_runs_finish``: the load begins once the runs in progress have ended; otherwise they go
-    on under the new weights, and what they make from then on is worth nothing.
+    With ``lets_runs_finish`` the load starts after the runs in progress have ended.  Otherwise
+    they continue under the new weights, and their output from then on is useless.
     """
 
     runner: str
@@ -343,7 +346,7 @@
 
 
 class OrderOutcome(enum.Enum):
-    """What a runner says of an order."""
+    """A runner's response to an order."""
 
     ACCEPTED = "accepted"
     HOLDS_ALREADY = "holds already"
@@ -355,7 +358,7 @@
 
 @attrs.frozen
 class RunnerReport:
-    """What a runner tells of itself, some hundred milliseconds old."""
+    """A runner's report of its own state, which may be some hundred milliseconds old."""
 
     weights: Mapping[str, int]
     is_loading: bool
--- a/src/martenrun/router/metrics.py
+++ b/src/martenrun/router/metrics.py
@@ -1,7 +1,7 @@
-"""Counters and histograms of a router in Prometheus's text format.
+"""Counters and histograms of a router in the Prometheus text format.
 
-The library for that format takes 22 MB after import, more than the whole router; the format
-itself is a few lines.
+The Prometheus client library takes 22 MB after import, more than the whole router; the format
+itself takes a few lines.
 """
 
 import bisect
@@ -13,31 +13,31 @@
 import attrs
 
 LATENCY_BOUNDS_S = (0.01, 0.025, 0.05, 0.1, 0.2, 0.4, 0.8, 1.6, 3.2, 6.4)
-"""Upper bounds of the buckets of latencies, in seconds."""
+"""Upper bounds of the latency buckets, in seconds."""
 
 
 @attrs.frozen
 class Sample:
-    """One figure that is read when the text is written."""
+    """One gauge value, read when the metrics are requested."""
 
     name: str
     value: float
 
 
 class Histogram:
-    """Counts of durations by bucket."""
+    """Histogram of durations."""
 
     def __init__(self) -> None:
         self._counts = [0] * (len(LATENCY_BOUNDS_S) + 1)
         self._sum_s = 0.0
 
     def add(self, seconds: float) -> None:
-        """Count one duration."""
+        """Add one duration."""
         self._counts[bisect.bisect_left(LATENCY_BOUNDS_S, seconds)] += 1
         self._sum_s += seconds
 
     def lines(self, name: str, labels: str) -> Iterable[str]:
-        """Return the lines of the histogram."""
+        """Return the histogram's lines in the text format."""
         total = 0
         for bound, count in zip((*map(str, LATENCY_BOUNDS_S), "+Inf"), self._counts, strict=True):
             total += count
@@ -47,10 +47,10 @@
 
 
 class Metrics:
-    """The figures of one router.
+    """Metrics of one router.
 
     Args:
-        read_samples: returns what is read only when the text is written.
+        read_samples: returns the gauges, which are read only when the metrics are requested.
     """
 
     def __init__(self, read_samples: Callable[[], list[Sample]]) -> None:
@@ -59,12 +59,12 @@
         self._histograms: dict[tuple[str, str], Histogram] = {}
 
     def count(self, name: str, **labels: str) -> None:
-        """Raise a counter by one."""
+        """Increment a counter."""
         key = (name, _labels(labels))
         self._counters[key] = self._counters.get(key, 0) + 1
 
     def time(self, name: str, seconds: float, **labels: str) -> None:
-        """Count a duration."""
+        """Add a duration to a histogram."""
         key = (name, _labels(labels))
         histogram = self._histograms.get(key)
         if histogram is None:
@@ -72,7 +72,7 @@
         histogram.add(seconds)
 
     def text(self) -> bytes:
-        """Return all figures in Prometheus's text format."""
+        """Return all metrics in the Prometheus text format."""
         lines = []
         for (name, labels), value in sorted(self._counters.items()):
             lines.append(f"martenrun_{name}_total{{{labels}}} {value}")
--- a/src/martenrun/router/process.py
+++ b/src/martenrun/router/process.py
@@ -1,4 +1,4 @@
-"""The router process: builds its parts, serves, and ends without cutting a request off."""
+"""The router process: wires up its components, serves requests and stops gracefully."""
 
 import signal
 from pathlib import Path
@@ -46,17 +46,17 @@
 from martenrun.router.world import World
 
 CALLERS_SHARE = 0.6
-"""Share of the process's descriptors that callers' connections may take."""
+"""Share of the process's file descriptors available to callers' connections."""
 
 HOUSEKEEPING_S = 0.25
-"""How often slow matters are looked at, in seconds."""
+"""Interval of the periodic maintenance, in seconds."""
 
 CURRENT_SHARE = 0.6
-"""Share of the bound on revoked keys up to which the configuration counts as current."""
+"""The configuration counts as current up to this share of the bound on revoked keys."""
 
 
 class RouterProcess:
-    """All parts of one router."""
+    """All components of one router."""
 
     def __init__(
         self, source: SettingsSource, dialect: Dialect, decisions: Decisions = DEFAULTS
@@ -186,7 +186,7 @@
         self._world.weights.on_changed = self._roller.check
 
     def _quota_gate(self, settings: RouterSettings) -> QuotaGate:
-        """Return what asks the routers that keep tenants' accounts, and answers for its own."""
+        """Return the gate that queries the owners of quota accounts and serves its own ones."""
         peers = self._peers
         owners = AccountOwners(
             self._loop.now,
@@ -205,13 +205,13 @@
         )
 
     def _spends_from(self, settings: RouterSettings) -> float:
-        """Return when nothing spent by an earlier process of this router counts any more."""
+        """Return when retries of this router's previous process leave the budget window."""
         return self._loop.now() + (
             0.0 if settings.is_first_start else settings.bounds.budget_window_s
         )
 
     def _runner_knowledge(self) -> RunnerKnowledge:
-        """Return what the watch for runners that end asks of the parts made after it."""
+        """Return the queries that the crash watch makes to components constructed after it."""
         return RunnerKnowledge(
             is_listed=lambda state: self._world.pool.state(state.runner.instance) is state,
             has_ended=lambda runner: self._world.runners.has_ended(runner),
@@ -221,7 +221,7 @@
         )
 
     def run(self) -> None:
-        """Serve until a signal has ended the process."""
+        """Serve until a signal stops the process."""
         self._loop.on_signal(signal.SIGTERM, self._begin_stop)
         self._loop.on_signal(signal.SIGINT, self._begin_stop)
         self._loop.on_signal(signal.SIGHUP, self._reload)
@@ -235,13 +235,13 @@
         log_event("stopped")
         EVENT_LOG.flush()
 
-    # Knowledge
+    # Store data
 
     def _on_configuration(self, configuration: Configuration) -> None:
         self._front.limits = configuration.limits
         self._world.configuration.hear([(configuration.version, 0)], self._loop.now())
         if self._keeper.reads_store:
-            # Who is behind must know it, also if it cannot get the configuration itself.
+            # Routers that are behind must learn this even if they cannot fetch the configuration.
             self._peers.tell_soon()
 
     def _on_runners_settled(self) -> None:
@@ -250,7 +250,7 @@
         self._world.suspects.watch.look_again()
         self._roller.check()
 
-    # Peers
+    # Other routers
 
     def _refresh(self, own: RouterRecord) -> None:
         own.is_leaving = self._stop is not None
@@ -314,7 +314,7 @@
         self._metrics.count("requests", outcome=outcome, kind=route.kind.value)
         self._metrics.time("request", seconds, kind=route.kind.value)
 
-    # Entry
+    # Readiness
 
     def _is_current(self) -> bool:
         age_s = self._world.configuration.age_s(self._loop.now())
@@ -325,10 +325,10 @@
             return False
         return self._feed.copies[Dataset.RUNNERS].is_known
 
-    # Ends
+    # Reload and stop
 
     def _reload(self) -> None:
-        """Put changed settings in force; faulty ones are logged and the last good ones stay."""
+        """Apply changed settings; invalid ones are logged and the last valid ones stay in use."""
         self._stamp = self._source.stamp()
         try:
             settings = self._source.load()
@@ -384,10 +384,10 @@
 
 
 def run_router(source: SettingsSource, dialect: Dialect, decisions: Path) -> None:
-    """Run a router until it is stopped; raises SettingsError if it cannot begin.
+    """Run a router until it is stopped; raises SettingsError if it cannot start.
 
     Args:
-        decisions: a file of figures that override those of :mod:`martenrun.router.decisions`; it
-            may be missing.
+        decisions: an optional file of tuning parameters that override the defaults of
+            :mod:`martenrun.router.decisions`.
     """
     RouterProcess(source, dialect, load_decisions(decisions)).run()
--- a/src/martenrun/router/runner_pool.py
+++ b/src/martenrun/router/runner_pool.py
@@ -1,4 +1,4 @@
-"""The runners a router can send to: their states and the connections kept to them."""
+"""States of the listed runners, and a pool of idle connections to them."""
 
 import attrs
 
@@ -8,25 +8,26 @@
 from martenrun.router.runner_state import RunnerState
 
 DEFAULT_REST_S = 4.0
-"""How long a connection may have rested to be used again if the runner names no time."""
+"""Maximum idle time for reusing a connection if the runner advertises no keep-alive time."""
 
 SAFE_REST_S = 3.0
-"""The same for requests that must not run twice: the runner must not be about to close it.
+"""Maximum idle time for requests that must not run twice, in seconds.
 
-0.8 s opened a new connection for half of them, with kept ones at hand: 0.650 -> 0.660 of worth.
+The runner must not be about to close the connection.  With 0.8 s half of these requests opened a
+new connection although idle ones were available: 0.650 -> 0.660 of worth.
 """
 
 SUSPECT_REST_S = 0.8
-"""The same after a runner has forgotten a kept connection, for FORGETFUL_S seconds."""
+"""Maximum idle time for such requests while a stale connection was seen recently, in seconds."""
 
 FORGETFUL_S = 10.0
-"""How long a forgotten connection is held against kept ones, in seconds."""
+"""How long a stale connection lowers the maximum idle time of others, in seconds."""
 
 REST_MARGIN_S = 0.6
-"""A connection is not used for so long before the end of the time that the runner names."""
+"""Connections are not reused this many seconds before the advertised keep-alive time ends."""
 
 KEPT_CONNECTIONS = 32
-"""Idle connections kept to one runner."""
+"""Maximum number of idle connections per runner."""
 
 
 @attrs.define
@@ -36,7 +37,7 @@
 
 
 class RunnerPool:
-    """States of the listed runners and connections to them."""
+    """States of the listed runners and idle connections to them."""
 
     def __init__(self, loop: Loop) -> None:
         self._loop = loop
@@ -45,7 +46,7 @@
         self._forgotten_at = -FORGETFUL_S
 
     def update(self, runners: dict[str, Runner]) -> None:
-        """Take in the runners listed now."""
+        """Replace the listed runners, keeping the state of those listed before."""
         for instance in list(self._entries):
             if instance not in runners:
                 self._drop(instance)
@@ -70,12 +71,12 @@
         return [entry.state for entry in self._entries.values()]
 
     def state(self, instance: str) -> RunnerState | None:
-        """Return the state of a listed runner."""
+        """Return the state of a listed runner instance, or None."""
         entry = self._entries.get(instance)
         return None if entry is None else entry.state
 
     def has_kept(self, instance: str) -> bool:
-        """Whether a connection kept to a runner is still open."""
+        """Return whether an idle connection to a runner is still open."""
         entry = self._entries.get(instance)
         return entry is not None and any(connection.is_open for connection in entry.idle)
 
@@ -87,7 +88,7 @@
         expected_id: tuple[bytes, bytes],
         may_repeat: bool,
     ) -> ClientConnection:
-        """Send a request to a runner; raises OSError if no connection can be begun."""
+        """Send a request to a runner; raises OSError if no connection can be opened."""
         entry = self._entries.get(state.runner.instance)
         connection = None if entry is None else self._rested(entry, may_repeat)
         if connection is None:
@@ -111,7 +112,7 @@
         return None
 
     def note_broken(self, connection: ClientConnection) -> None:
-        """Take in that a connection broke before any answer came."""
+        """Record a connection that broke before any response; a reused one was stale."""
         if connection.was_kept:
             self._forgotten_at = self._loop.now()
 
@@ -124,7 +125,7 @@
             if entry is None or entry.state.runner.is_draining:
                 connection.close()
             elif self._entries.get(entry.state.runner.instance) is not entry:
-                # The runner's entry went while this request was under way: nobody would close it.
+                # The runner was removed during the request, so its idle list is never closed.
                 connection.close()
             elif len(entry.idle) < KEPT_CONNECTIONS:
                 entry.idle.append(connection)
--- a/src/martenrun/router/runner_request.py
+++ b/src/martenrun/router/runner_request.py
@@ -1,4 +1,4 @@
-"""What is asked of a placement for a request, and what a runner is told with it."""
+"""Builds the placement query of a request and the values added when it is sent to a runner."""
 
 from collections.abc import Collection
 
@@ -9,21 +9,21 @@
 from martenrun.router.world import World
 
 EXPECTED_ANSWER_TOKENS = 200
-"""Tokens of memory that an answer is reckoned to take."""
+"""Estimated number of output tokens, for reserving KV cache."""
 
 LEAST_DEADLINE_S = 0.001
-"""Shortest deadline that a runner is told, in seconds."""
+"""Shortest deadline that is sent to a runner, in seconds."""
 
 DEFAULT_TENANT_PRIORITY = 1
 ROUTE_PRIORITIES = 3
 LAST_PRIORITY = 9
-"""An engine's priority is 0 (first) to 9; three levels of routes lie within one of tenants."""
+"""Engine priorities range from 0 (highest) to 9; each tenant level has three route levels."""
 
 
 def placement_question(
     world: World, admitted: Admitted, tried: Collection[str], apart_by: bytes | None = None
 ) -> PlacementQuestion:
-    """Return what a placement is asked for a request."""
+    """Return the placement query for a request."""
     now = world.loop.now()
     call = admitted.call
     wanted = world.weights.wanted.get(call.model) if call.model else None
@@ -43,13 +43,13 @@
 
 
 def request_groups(admitted: Admitted) -> tuple[str, ...]:
-    """Return the kind and the tenant that a request belongs to, as overload counts them."""
+    """Return the route and tenant groups by which overload control counts a request."""
     kind = f"route {admitted.route.name}"
     return (kind,) if admitted.tenant is None else (kind, f"tenant {admitted.tenant.name}")
 
 
 def waiting_prompt(world: World, admitted: Admitted, state: RunnerState) -> WaitingPrompt:
-    """Return what an overloaded service is asked for a request and the best runner for it."""
+    """Return the overload guard's input for a request and the best runner for it."""
     table = world.configuration.table
     return WaitingPrompt(
         objective_s=admitted.route.objective_s,
@@ -66,7 +66,7 @@
     question: PlacementQuestion,
     last_event_id: int,
 ) -> Dispatch:
-    """Return what a runner is told with a request."""
+    """Return the values that are sent to a runner with a request."""
     call = admitted.call
     tenant = admitted.tenant
     version = None if call.model is None else state.weights_version(call.model)
@@ -89,19 +89,19 @@
 def _cache_source(
     world: World, admitted: Admitted, state: RunnerState, question: PlacementQuestion
 ) -> str | None:
-    """Return the address of a runner to fetch kept parts from where there is no store."""
+    """Return the address of a runner to fetch KV cache from where there is no store, or None."""
     states = world.pool.states(admitted.service)
     source = world.placement.cache_source(question, state, states)
     return None if source is None else source.runner.address
 
 
 def _wall(tenant: Tenant | None) -> str:
-    """Return what keeps an isolated tenant's cached parts apart, else an empty text."""
+    """Return the key that separates an isolated tenant's KV cache, else an empty string."""
     return tenant.name if tenant is not None and tenant.is_isolated else ""
 
 
 def _engine_priority(admitted: Admitted) -> int:
-    """Return the engine's priority: the tenant's goes before the route's."""
+    """Return the engine priority; the tenant's priority takes precedence over the route's."""
     tenant = admitted.tenant
     by_tenant = DEFAULT_TENANT_PRIORITY
     if tenant is not None and tenant.priority is not None:
--- a/src/martenrun/router/settings.py
+++ b/src/martenrun/router/settings.py
@@ -1,4 +1,4 @@
-"""Settings of one router process, and the bounds that its deployment demands."""
+"""Settings of one router process, and the bounds that its deployment requires."""
 
 import attrs
 
@@ -7,7 +7,7 @@
 
 @attrs.frozen
 class Bounds:
-    """The times and shares that the deployment demands."""
+    """Time limits and ratios that the deployment requires."""
 
     drain_s: float
     grace_s: float
@@ -37,8 +37,8 @@
 class RouterSettings:
     """Settings of one router process.
 
-    ``capacity`` is the processor it may use, in cores; ``is_first_start`` says that the whole
-    deployment starts for the first time, so that no earlier process has done anything.
+    ``capacity`` is the CPU capacity available to it, in cores.  ``is_first_start`` states that the
+    whole deployment starts for the first time, so that no earlier process has sent any request.
     """
 
     name: str
--- a/src/martenrun/router/trail.py
+++ b/src/martenrun/router/trail.py
@@ -1,4 +1,4 @@
-"""The steps of one request, remembered until it is known whether they are worth writing."""
+"""Trace of one request, buffered until its outcome decides whether it is logged."""
 
 from martenrun.net.loop import Loop
 from martenrun.router.log import Value, log_event, log_trouble
@@ -9,7 +9,7 @@
 
 
 class RequestTrail:
-    """Steps of a request; all of them are written if it fails, else only its outcome."""
+    """Steps of a request; all of them are logged if it fails, else only its outcome."""
 
     def __init__(self, loop: Loop, admitted: Admitted) -> None:
         self._loop = loop
@@ -20,11 +20,11 @@
         }
 
     def note(self, event: str, **fields: Value) -> None:
-        """Remember a step."""
+        """Record a step."""
         self._steps.append((self._loop.now(), event, fields))
 
     def note_grant(self, grant: Grant, event: str = "quota_asked") -> None:
-        """Remember the outcome of a request for units of a tenant's or a runner's limit."""
+        """Record the outcome of a request for units of a tenant's or a runner's limit."""
         self.note(
             event,
             units=grant.use.units,
@@ -37,7 +37,7 @@
         )
 
     def note_sent(self, state: RunnerState, model: str | None, tries: int) -> None:
-        """Remember that the request was sent to a runner."""
+        """Record that the request was sent to a runner."""
         self.note(
             "sent",
             instance=state.runner.instance,
@@ -50,7 +50,7 @@
     def note_failed(
         self, instance: str, status: int, failure: Failure, step: NextStep, runs: int
     ) -> None:
-        """Remember a failed try and the next step."""
+        """Record a failed attempt and the next step."""
         self.note(
             "try_failed",
             instance=instance,
@@ -61,7 +61,7 @@
         )
 
     def end(self, outcome: str, is_failure: bool, **fields: Value) -> None:
-        """Write the outcome, and the steps before it if it is a failure."""
+        """Log the outcome, preceded by the recorded steps if it is a failure."""
         if not is_failure:
             log_event(outcome, **self._known, **fields)
             return
--- a/src/martenrun/router/world.py
+++ b/src/martenrun/router/world.py
@@ -1,4 +1,4 @@
-"""Everything that the parts of one router share."""
+"""Services and state shared by the components of one router."""
 
 from collections.abc import Callable
 
@@ -21,30 +21,30 @@
 from martenrun.router.suspects import Suspects
 
 OLD_WEIGHTS_MARGIN_S = 0.9
-"""How long before the bound no request is sent to older weights any more, in seconds.
+"""Sending requests to old weights stops this many seconds before the bound.
 
-It may still wait in the runner's queue before it begins.
+A request may still wait in the runner's queue before it starts.
 """
 
 OVERDUE_MARGIN_S = 0.6
-"""How long before the bound waiting requests are taken from older weights, in seconds."""
+"""Requests queued at old weights are withdrawn this many seconds before the bound."""
 
 
 @attrs.define
 class World:
-    """What a router knows and uses.
+    """Services and state that requests are handled with.
 
     Attributes:
-        decisions: the figures that decisions depend on.
-        node_count: returns among how many routers the retry budget is shared.
-        suspects: what is known of requests that end runners.
-        count: takes in how a request ended: outcome, route, seconds.
-        store_works: whether the kept-cache store at an address answers.
-        note_reading: takes in that a runner has more or less to read for this router.
-        refresh_loads: makes what is known of other routers' loads current.
-        quotas: asks whether tenants may use more; None where nobody keeps accounts.
+        decisions: tuning parameters.
+        router_count: returns how many routers share the retry budget.
+        suspects: crash records of requests, and the blocking of crash-causing ones.
+        record_outcome: records how a request ended: outcome, route, seconds.
+        is_store_available: returns whether a KV cache store responds.
+        on_prefill_changed: called when a runner's pending prefill for this router changes.
+        refresh_loads: updates runners' states with the loads that other routers report.
+        quotas: grants quota units to tenants; None where no quota accounts are kept.
         runner_limits: the rate limits that runners advertise.
-        spends_from: from when on this router may use its part of the common slack of retries.
+        retry_slack_from: when this router may start to use its share of the retry slack.
     """
 
     loop: Loop
@@ -76,45 +76,45 @@
         return budget
 
     def guard(self, service: str) -> OverloadGuard:
-        """Return what decides whether a service is too busy for one more prompt."""
+        """Return the guard that decides whether a service is overloaded for another prompt."""
         guard = self._guards.get(service)
         if guard is None:
             guard = self._guards[service] = OverloadGuard(self.decisions.overload)
         return guard
 
     def runner_states(self, service: str) -> list[RunnerState]:
-        """Return what is believed now of a service's runners."""
+        """Return the states of a service's runners with current loads."""
         self.refresh_loads()
         return self.pool.states(service)
 
     def replace_settings(self, settings: RouterSettings) -> None:
-        """Put other bounds in force; addresses stay those of the start."""
+        """Apply the bounds of new settings; addresses stay as they were at startup."""
         self.settings = settings
         for budget in self._budgets.values():
             budget.bounds = settings.bounds
 
     def oldest_weights(self, model: str, now: float) -> int:
-        """Return the oldest version of a model's weights that may still begin requests."""
+        """Return the oldest version of a model's weights that requests may be sent to."""
         return self.weights.oldest_allowed(model, self.old_weights_bound_s, now)
 
     @property
     def old_weights_bound_s(self) -> float:
-        """For how long after a newer version was named older weights are sent requests."""
+        """How long requests are sent to old weights after a newer version became the target."""
         return self.settings.bounds.weights_s - OLD_WEIGHTS_MARGIN_S
 
     def overdue_weights(self, model: str, now: float) -> int:
-        """Return the version of which older ones may not even begin requests sent before."""
+        """Return the oldest version of a model's weights that may start queued requests."""
         bound_s = self.settings.bounds.weights_s - OVERDUE_MARGIN_S
         return self.weights.oldest_allowed(model, bound_s, now)
 
     def memory_tokens(self, service: str) -> int:
-        """Return the memory of one runner of a service in tokens, or 0 if it serves no model."""
+        """Return the KV cache capacity of a service's runner in tokens; 0 if it has no model."""
         table = self.configuration.table
         found = None if table is None else table.configuration.services.get(service)
         return 0 if found is None or found.engine is None else found.engine.cache_tokens
 
     def cache_store(self, prefix: bytes) -> str | None:
-        """Return the address of the kept-cache store that keeps a prefix for all runners."""
+        """Return the address of the KV cache store responsible for a prefix, or None."""
         table = self.configuration.table
         if table is None:
             return None
