--- a/tests/router/test_deployment_start.py
+++ b/tests/router/test_deployment_start.py
@@ -1,4 +1,4 @@
-"""Logs of a test deployment that fails to start are kept."""
+"""A test deployment that fails to start keeps its logs."""
 
 from pathlib import Path
 
--- a/tests/router/test_event_stream.py
+++ b/tests/router/test_event_stream.py
@@ -1,4 +1,4 @@
-"""Only whole events are passed on, however the bytes arrive, and their ids have no gap."""
+"""Splitting of event streams at any chunk boundaries, and checks of event ids."""
 
 import pytest
 from hypothesis import given
--- a/tests/router/test_faulty_relay.py
+++ b/tests/router/test_faulty_relay.py
@@ -45,7 +45,7 @@
 
 
 def fill_queue(listener):
-    """Connect until the listener's queue is full: the next one is let in by a later packet."""
+    """Fill the listener's accept queue; the next connect completes only with a later packet."""
     held = []
     while True:
         sock = socket.socket()
@@ -58,7 +58,7 @@
         held.append(sock)
 
 
-# Guards against requests that begin at a runner long after their sender has closed.
+# Guards against requests that start at a runner long after their sender has closed.
 def test_a_request_is_not_delivered_if_its_sender_left_before_the_target_took_it():
     with socket.socket() as listener, contextlib.ExitStack() as stack:
         listener.bind(("127.0.0.1", 0))
--- a/tests/router/test_forwarding.py
+++ b/tests/router/test_forwarding.py
@@ -1,4 +1,4 @@
-"""One request on its way, against runners that answer as told, in virtual time."""
+"""Forwarding of one request to scripted runners in virtual time."""
 
 import attrs
 import pytest
@@ -26,7 +26,7 @@
 
 @attrs.define
 class FakeExchange:
-    """The caller's side."""
+    """Records what is sent to the caller."""
 
     request: HttpRequest
     answers: list = attrs.field(factory=list)
@@ -66,7 +66,7 @@
 
 
 class FakePool:
-    """Runners that answer from a script, or stay silent at its end."""
+    """Runners that send scripted responses, and none at the end of the script."""
 
     def __init__(self, loop, states, script=()):
         self._loop = loop
@@ -171,7 +171,7 @@
 
 
 def test_a_request_that_waits_for_a_runner_keeps_within_the_retry_budget():
-    """It was sent again after each wait without asking the budget: BUDGET on the bench."""
+    """Guards against retries after each wait that are not counted against the retry budget."""
     played = Played([FULL] * 9, budget_slack=0.0).run(1.0)
     assert len(played.pool.sent) == 1
     assert played.exchange.answers[0][0] == 503
@@ -273,7 +273,7 @@
 
 
 def test_a_prompt_that_all_runners_would_read_late_is_refused_before_it_is_sent():
-    """Twice the traffic that the runners can read made nearly every answer late or fail."""
+    """Guards against overload: at twice the prefill capacity nearly all responses were late."""
     busy = [state("i-0"), state("i-1")]
     for item in busy:
         item.reading_elsewhere = 60_000
@@ -284,7 +284,7 @@
 
 
 def test_a_prompt_is_held_back_at_once_not_until_the_backlog_is_read(monkeypatch):
-    """Among 79 routers the prompts that waited all went to the runner that became free first."""
+    """Guards against waiting prompts of 79 routers all sent to the first runner that got free."""
     lines = []
     monkeypatch.setattr(trail, "log_trouble", lambda event, **fields: lines.append((event, fields)))
     busy = [state("i-0")]
@@ -320,11 +320,11 @@
 
 
 LOST = None
-"""An answer that never comes: its connection ends."""
+"""A lost response: the connection closes before it."""
 
 
 def blamed_for(starts, runners_end=False):
-    """Let some starts have ended under the request before it comes."""
+    """Return a setup that records crashes of earlier runner instances under the request."""
 
     def blame(played):
         run = fingerprint(played.exchange.request, played.forwarding.admitted)
--- a/tests/router/test_interpreter.py
+++ b/tests/router/test_interpreter.py
@@ -1,4 +1,4 @@
-"""The program that routers run on, and what takes its place where it cannot be built."""
+"""The interpreter launcher of routers, and its replacement where it cannot be compiled."""
 
 import importlib.util
 import signal
@@ -27,7 +27,7 @@
     return done.stdout.strip()
 
 
-# Guards against routers ended by a reload signal while the interpreter starts.
+# Guards against routers terminated by a reload signal while the interpreter starts.
 def test_the_interpreter_starts_with_the_reload_signal_ignored():
     assert run_code(router_command()[0], GET_ACTION) == str(int(signal.SIG_IGN))
 
--- a/tests/router/test_log.py
+++ b/tests/router/test_log.py
@@ -1,4 +1,4 @@
-"""The log never waits for its reader, is bounded, and keeps the lines about failures."""
+"""The log never blocks on its reader, has bounded memory and keeps lines about failures."""
 
 import json
 import os
@@ -71,7 +71,7 @@
         seen += os.read(reader, 1_000_000)
         if b"lines_dropped" in seen:
             return
-    pytest.fail("the dropped lines were never told")
+    pytest.fail("the dropped lines were never reported")
 
 
 def test_an_explanation_orders_steps_by_each_nodes_steady_clock():
--- a/tests/router/test_planned_stop.py
+++ b/tests/router/test_planned_stop.py
@@ -1,4 +1,4 @@
-"""What a router that was told to stop still takes."""
+"""Requests that a router accepts after a stop was requested."""
 
 import attrs
 import pytest
@@ -24,7 +24,7 @@
 
 
 def test_a_late_stream_that_may_run_past_the_end_is_refused_before_it_runs():
-    """Three machines told to stop within four seconds: callers had nowhere else to go."""
+    """Guards against aborted streams when three routers stop at once and none is left to retry."""
     received_at = STOP.ordered_at + 5.2
     assert not STOP.may_take(admitted(received_at, 15.0), received_at)
 
--- a/tests/router/test_route_table.py
+++ b/tests/router/test_route_table.py
@@ -1,4 +1,4 @@
-"""Routes by host and longest prefix, tenants by key, splits by weight."""
+"""Lookup of routes by host and longest prefix, of tenants by key, and weighted splits."""
 
 import collections
 
--- a/tests/router/test_router_checkers.py
+++ b/tests/router/test_router_checkers.py
@@ -1,4 +1,4 @@
-"""Each checker of the soak finds its violation, and finds nothing where there is none."""
+"""Each checker of the soak finds its violation and reports nothing for clean histories."""
 
 import attrs
 
--- a/tests/router/test_runner_pool.py
+++ b/tests/router/test_runner_pool.py
@@ -1,4 +1,4 @@
-"""Kept connections to runners: used again while that is safe, less after one was forgotten."""
+"""Reuse of idle connections to runners, and its limit after a stale connection."""
 
 import pytest
 
@@ -15,7 +15,7 @@
 
 
 class FakeConnection:
-    """Answers nothing; :meth:`rest` puts it back."""
+    """A connection without responses; :meth:`release` returns it to the pool."""
 
     made = 0
 
--- a/tests/router/test_soak.py
+++ b/tests/router/test_soak.py
@@ -1,4 +1,4 @@
-"""Short, fixed soaks of real routers: faults overlap and every promise holds."""
+"""Short soaks of real routers with fixed seeds: every guarantee holds under overlapping faults."""
 
 import contextlib
 import itertools
@@ -28,10 +28,10 @@
     pytest.param(302, 5, id="302: the same"),
     pytest.param(3004, 16, id="3004: gossip slowed down by routers that had left"),
 ]
-"""Seeds and sizes that broke a promise once, each with its cause."""
+"""Seeds and numbers of routers that violated a guarantee before, each with its cause."""
 
 FIXED = [pytest.param(1011, 3, id="1011"), pytest.param(1008, 5, id="1008")]
-"""Others that are always played: restarts, herds, departures and links that refuse, in series."""
+"""Further seeds: series of restarts, mass restarts, departures and refused connections."""
 
 SCHEDULES = Path(__file__).with_name("schedules")
 
@@ -48,8 +48,8 @@
     assert " 0 violations" in result.output
 
 
-# Guards against routers ended by a reload signal beside restarts.  The seeds draw other steps since
-# kinds were added to schedules: these are the steps of the plays that failed.
+# Guards against routers terminated by a reload signal during restarts.  The schedules are recorded
+# from the runs that failed, because the seeds draw different steps after kinds were added.
 @pytest.mark.parametrize(("seed", "routers"), [(101, 3), (302, 5)])
 def test_promises_hold_under_reloads_beside_restarts(seed, routers, tmp_path):
     schedule = SCHEDULES / f"reloads-beside-restarts-{seed}.jsonl"
@@ -59,7 +59,7 @@
     assert " 0 violations" in result.output
 
 
-# Guards against routers ended by a reload signal while they start.
+# Guards against routers terminated by a reload signal while they start.
 def test_promises_hold_while_every_router_that_starts_reloads(tmp_path):
     options = ["--minutes", "0.25", "--seed", "101", "--hang-up-starts"]
     result = CliRunner().invoke(soak, [*options, "--keep-logs", str(tmp_path / "logs")])
@@ -88,7 +88,7 @@
     assert " 0 violations" in result.output
 
 
-# Guards against ready routers that answer no unknown route while the store is silent.
+# Guards against ready routers that do not respond on unknown routes while the store hangs.
 def test_ready_routers_answer_while_the_store_is_silent(tmp_path):
     options = ["--schedule", str(SCHEDULES / "store-silent.jsonl")]
     result = CliRunner().invoke(soak, [*options, "--keep-logs", str(tmp_path / "logs")])
@@ -105,7 +105,7 @@
 
 
 class UnrestingFaults:
-    """Runners that have the newest weights only some looks after the last fault."""
+    """Runners that have the newest weights only some polls after the last fault."""
 
     crashed_at = 0.0
 
@@ -141,7 +141,7 @@
 
 
 def test_series_of_runners_come_on_top_of_a_seeds_schedule():
-    """Seeds that broke a promise once stay as they were."""
+    """Guards against changed schedules of seeds that violated a guarantee before."""
     for seed in range(20):
         steps, more = draw_schedule(seed, 60.0), draw_schedule(seed, 60.0, True)
         added = [step for step in more if step.kind in RUNNER_KINDS]
@@ -179,14 +179,14 @@
 
 
 def test_a_relay_is_not_made_at_an_address_drawn_before(monkeypatch):
-    """Another had taken it by then in one whole run of the tests beside others."""
+    """Guards against a free port that another process takes before the relay binds it."""
     with socket.create_server(("127.0.0.1", 0)) as other:
         taken = f"127.0.0.1:{other.getsockname()[1]}"
         monkeypatch.setattr(faulty_relay, "free_address", lambda: taken, raising=False)
         faulty_relay.FaultyRelay("127.0.0.1:1").close()
 
 
-# Guards against routers that cannot start: a port drawn for one was the internal port of all.
+# Guards against routers that cannot start because one was given the internal port of all.
 def test_the_internal_port_is_not_drawn_again(monkeypatch):
     drawn = iter([7001, 7002, 7003, 7004])
 
@@ -205,7 +205,7 @@
 
 
 def test_a_deployment_that_does_not_come_up_leaves_no_process_behind(monkeypatch, tmp_path):
-    """A first run of the guards' test left three routers running for an hour."""
+    """Guards against router processes that keep running after a failed startup."""
     program = tmp_path / "never_ready.py"
     program.write_text("import signal\nsignal.pause()\n")
     monkeypatch.setattr(platform_deployment, "LIMIT_S", 0.3)
--- a/tests/router/test_soak_guards.py
+++ b/tests/router/test_soak_guards.py
@@ -1,4 +1,4 @@
-"""Each checker of the soak finds a violation by real routers whose guard was taken out."""
+"""Each checker of the soak finds violations by real routers that run without a safeguard."""
 
 from concurrent.futures import ThreadPoolExecutor
 from pathlib import Path
@@ -23,8 +23,8 @@
         Step(1.0, "break_entries", (0, 1, 2, 3, 4, 5), 7.0, 0),
         Step(6.5, "configure", (0,), 0.0, 1),
     ],
-    # The second step keeps the drains from being cut short: who follows another router would miss
-    # them.
+    # The second step extends the run: routers that read the store through another router would
+    # miss drains that are cut short.
     "served again": [
         Step(1.0, "restart_runner", (12, 13, 14, 15, 16, 17), 0.0, 0),
         Step(6.0, "configure", (0,), 0.0, 1),
@@ -42,15 +42,15 @@
 
 
 CHECKERS = {"entries": "leaving"}
-"""The checker that finds what a guard keeps away, where it has another name."""
+"""The checker that finds the violation of a removed guard, where their names differ."""
 
 
 GREEDY_CALLERS = {"rates": 4}
-"""Callers of the greedy tenant: one alone asks for less than the bound where answers are slow."""
+"""Callers of the greedy tenant: a single one stays below the bound if responses are slow."""
 
 
 def unguarded(guard):
-    """Return the violations of a deployment without a guard."""
+    """Return the violations of a deployment whose routers run without a guard."""
     deployment = PlatformDeployment(
         3, 3, 3, has_relays=True, program=PROGRAM, environment={"UNGUARDED": guard}
     )
@@ -60,7 +60,7 @@
 
 @pytest.fixture(scope="module")
 def violations():
-    """Violations by guard; all are played at the same time."""
+    """Return violations by removed guard; all deployments run in parallel."""
     with ThreadPoolExecutor(len(GUARDS)) as plays:
         return dict(zip(GUARDS, plays.map(unguarded, GUARDS), strict=True))
 
--- a/tests/router/test_start_signals.py
+++ b/tests/router/test_start_signals.py
@@ -1,4 +1,4 @@
-"""Signals that reach a router at any moment of its start."""
+"""Signals sent to a router at any time during its startup."""
 
 import signal
 import subprocess
@@ -16,7 +16,7 @@
 
 
 def start_router(settings):
-    """Start a router by its deployment's command, with the default action for every signal."""
+    """Start a router with the deployment's command and the default action for every signal."""
     return subprocess.Popen(
         router_command(),
         cwd=ROOT,
@@ -30,22 +30,22 @@
 
 
 def ended_by(number, delay_ms, settings):
-    """Whether a signal that is sent some time after a start ends the process by its default."""
+    """Return whether a signal sent some time after the start terminates the process."""
     process = start_router(settings)
     threading.Event().wait(delay_ms / 1000)
     process.send_signal(number)
     return process.wait(timeout=30) == -number
 
 
-# Guards against routers ended by a reload signal before their program's first line.
+# Guards against routers terminated by a reload signal before their program's first line.
 def test_a_hang_up_at_no_moment_of_a_start_ends_a_router(tmp_path):
-    # Without a settings file a router that is not ended by the signal exits by itself.
+    # Without a settings file a router that is not terminated by the signal exits by itself.
     settings = tmp_path / "missing.toml"
     ended = {
         delay_ms: sum(ended_by(signal.SIGHUP, delay_ms, settings) for _ in range(STARTS_PER_DELAY))
         for delay_ms in DELAYS_MS
     }
-    assert not any(ended.values()), f"ended, of {STARTS_PER_DELAY}, by delay in ms: {ended}"
+    assert not any(ended.values()), f"terminated, of {STARTS_PER_DELAY}, by delay in ms: {ended}"
 
 
 FIRST_IMPORT = """
@@ -64,17 +64,16 @@
 exec(code, {"__name__": "__main__"})
 sys.exit(2)
 """
-"""Runs a program up to its first import of a module that is not built in."""
+"""Runs a program up to its first import, except of ``_signal``; exits 0 if SIGHUP is ignored."""
 
 
-# Guards against routers ended by a reload signal while they import their modules.
+# Guards against routers terminated by a reload signal while they import their modules.
 def test_a_router_ignores_a_hang_up_before_it_imports_anything():
     command = [sys.executable, "-S", "-c", FIRST_IMPORT, str(ROOT / "deploy" / "router.py")]
     assert subprocess.run(command, check=False, timeout=30).returncode == 0
 
 
-# Guards against a stop ordered during a start that is forgotten: the router would serve on until it
-# is killed.
+# Guards against losing a stop requested during startup: the router would serve until it is killed.
 def test_a_stop_at_any_moment_of_a_start_ends_a_router_in_time():
     with PlatformDeployment(routers=10) as running:
         for router in running.routers:
--- a/tests/router/test_whole_path.py
+++ b/tests/router/test_whole_path.py
@@ -1,4 +1,4 @@
-"""Real router processes on loopback before stand-ins of the platform; causes found from logs."""
+"""Real router processes on loopback with a simulated platform, and failures explained from logs."""
 
 import contextlib
 import json
@@ -28,7 +28,7 @@
 
 
 def first_time(fault):
-    """Return a fault that strikes the first request only."""
+    """Return a fault that affects the first request only."""
     faults = [fault]
     return lambda: faults.pop() if faults else Fault.NONE
 
@@ -47,7 +47,7 @@
 
 
 def wait_explained(deployment, request_id, *words):
-    """Wait until the logs explain a request with these words: they follow its answer."""
+    """Wait until the explanation of a request contains these words; logs lag its response."""
     found = ""
 
     def is_explained():
@@ -253,7 +253,7 @@
 
 
 def test_a_planned_stop_cuts_nothing_off(deployment):
-    """Runs last: it ends one of the routers."""
+    """Must be the last test on the deployment because it stops one of the routers."""
     router = deployment.routers[1]
     deployment.stop(router)
     deployment.wait(lambda: not deployment.is_ready(router))
@@ -264,7 +264,7 @@
 
 
 def test_a_hang_up_while_a_router_starts_does_not_end_it():
-    """The signal's default is to end the process; the soak's seeds 101 and 302 sent it early."""
+    """Guards against the default action of SIGHUP, seen in the soak with seeds 101 and 302."""
     with PlatformDeployment(routers=1) as running:
         router = running.routers[0]
         running.stop(router, signal.SIGKILL)
--- a/tests/router/unguarded_router.py
+++ b/tests/router/unguarded_router.py
@@ -1,4 +1,4 @@
-"""Starts a router with one of its guards taken out, for tests of the soak's checkers.
+"""Starts a router with one of its safeguards removed, for tests of the soak's checkers.
 
     UNGUARDED=live unguarded_router.py
 
@@ -18,7 +18,7 @@
 
 
 def name_everybody():
-    """Count every router ever heard of as alive."""
+    """Treat every router ever seen as alive."""
     from martenrun.router.router_table import RouterTable
 
     RouterTable.live = lambda self, now: [known.record for known in self._known.values()]
@@ -26,7 +26,7 @@
 
 
 def send_to_leaving_runners():
-    """Take in neither that a runner leaves nor that its entry is gone."""
+    """Ignore draining and removed runners."""
     from martenrun.router.knowledge import RunnerDirectory
 
     def put(self, runner):
@@ -38,21 +38,21 @@
 
 
 def keep_unreadable_entries():
-    """Go on using a runner whose entry can no longer be read, or is gone."""
+    """Keep using runners whose entry is undecodable or removed."""
     from martenrun.router.knowledge import RunnerDirectory
 
     RunnerDirectory.remove = lambda self, name: None
 
 
 def tell_no_starts_apart():
-    """Take a runner that starts again under its id for the one before."""
+    """Treat a runner that restarts under its id as the previous instance."""
     from martenrun.platform import contents
 
     contents.life_key = lambda name, _born_ms: name
 
 
 def serve_no_new_connection():
-    """Leave callers' new connections unserved after the first seconds."""
+    """Stop serving new connections of callers after the first seconds."""
     import time
 
     from martenrun.net.server import Server
@@ -70,14 +70,14 @@
 
 
 def work_on_for_callers_that_left():
-    """Do not notice that a caller has left."""
+    """Ignore callers that disconnect."""
     from martenrun.router.forwarding import Forwarding
 
     Forwarding._on_gone = lambda self: None
 
 
 def end_at_a_hang_up():
-    """Let SIGHUP end the process, as it does by default; who started it may have it ignored."""
+    """Let SIGHUP terminate the process, also if the parent process ignores it."""
     signal.signal(signal.SIGHUP, signal.SIG_DFL)
     signal.signal = _keep_default_of_hang_up(signal.signal)
     _signal.signal = _keep_default_of_hang_up(_signal.signal)
@@ -88,14 +88,14 @@
 
 
 def hold_nothing_back():
-    """Send whatever comes to runners, however many have ended under it."""
+    """Send requests to runners however many have crashed while serving them."""
     from martenrun.router.blame_table import BlameTable
 
     BlameTable.held_for_s = lambda self, fingerprint, now: 0.0
 
 
 def grant_whatever_is_asked():
-    """Let tenants use as much as they ask for."""
+    """Grant tenants everything that they request."""
     from martenrun.router.quotas.account import Account, Verdict
 
     Account.ask = lambda self, grant, units, now: Verdict(True)
@@ -120,7 +120,7 @@
     "rates": grant_whatever_is_asked,
     "limits": ignore_runner_limits,
 }
-"""What takes each guard out, by the checker that must then find a violation."""
+"""Functions that remove a safeguard, by the checker that must then find a violation."""
 
 if __name__ == "__main__":
     GUARDS[os.environ["UNGUARDED"]]()
