--- a/tests/router/test_faulty_relay.py
+++ b/tests/router/test_faulty_relay.py
@@ -46,7 +46,7 @@
 
 def fill_queue(listener):
     """Fill the listener's accept queue; the next connect completes only with a later packet."""
-    held = []
+    connections = []
     while True:
         sock = socket.socket()
         sock.settimeout(0.2)
@@ -54,23 +54,23 @@
             sock.connect(listener.getsockname())
         except TimeoutError:
             sock.close()
-            return held
-        held.append(sock)
+            return connections
+        connections.append(sock)
 
 
 # Guards against requests that start at a runner long after their sender has closed.
-def test_a_request_is_not_delivered_if_its_sender_left_before_the_target_took_it():
+def test_a_request_is_not_delivered_if_its_sender_closed_before_the_target_accepted():
     with socket.socket() as listener, contextlib.ExitStack() as stack:
         listener.bind(("127.0.0.1", 0))
         listener.listen(0)
         listener.settimeout(5.0)
-        held = [stack.enter_context(sock) for sock in fill_queue(listener)]
+        connections = [stack.enter_context(sock) for sock in fill_queue(listener)]
         relay = FaultyRelay(f"127.0.0.1:{listener.getsockname()[1]}")
         stack.callback(relay.close)
         host, _, relay_port = relay.address.rpartition(":")
         with socket.create_connection((host, int(relay_port)), 5.0) as client:
             client.sendall(b"request")
-        for _ in held:
+        for _ in connections:
             stack.enter_context(listener.accept()[0])
         relayed = stack.enter_context(listener.accept()[0])
         assert relayed.recv(7) == b""
--- a/tests/router/test_log.py
+++ b/tests/router/test_log.py
@@ -19,35 +19,35 @@
     os.close(writer)
 
 
-def opened(writer):
+def open_log(writer):
     log = EventLog(writer)
     log.open("n1")
     return log
 
 
-def lines_of(reader):
+def read_log_lines(reader):
     return [json.loads(line) for line in os.read(reader, 1_000_000).splitlines()]
 
 
-def test_lines_are_json_with_time_node_and_event_and_without_empty_fields(pipe):
+def test_lines_are_json_objects_without_null_fields(pipe):
     reader, writer = pipe
-    opened(writer).write("served", False, {"request": "r1", "reason": None})
-    (line,) = lines_of(reader)
+    open_log(writer).write("served", False, {"request": "r1", "reason": None})
+    (line,) = read_log_lines(reader)
     assert line["node"] == "n1" and line["event"] == "served" and line["request"] == "r1"
     assert "reason" not in line
 
 
-def test_routine_lines_are_bounded_and_failures_still_written(pipe, monkeypatch):
+def test_routine_lines_are_limited_and_failures_still_written(pipe, monkeypatch):
     reader, writer = pipe
     clock = [100.0]
     monkeypatch.setattr("martenrun.router.log.clock.now", lambda: clock[0])
-    log = opened(writer)
+    log = open_log(writer)
     for number in range(LINES_PER_KIND_PER_S * 3):
         log.write("served", False, {"request": f"r{number}"})
     log.write("broken_off", True, {"request": "bad"})
     clock[0] = 101.0
     log.write("served", False, {"request": "next"})
-    lines = lines_of(reader)
+    lines = read_log_lines(reader)
     events = [line["event"] for line in lines]
     assert events.count("served") == LINES_PER_KIND_PER_S + 1
     assert "broken_off" in events
@@ -55,26 +55,26 @@
     assert left_out["count"] == LINES_PER_KIND_PER_S * 2
 
 
-def test_a_reader_that_has_stopped_costs_neither_time_nor_memory(pipe, monkeypatch):
+def test_a_stopped_reader_does_not_block_writes_or_grow_the_buffer(pipe, monkeypatch):
     reader, writer = pipe
     clock = [100.0]
     monkeypatch.setattr("martenrun.router.log.clock.now", lambda: clock[0])
-    log = opened(writer)
+    log = open_log(writer)
     for number in range(20_000):
         clock[0] += 0.01
         log.write("served", False, {"request": f"r{number}", "text": "x" * 50})
     assert len(log._buffer) < BUFFERED_BYTES + 1_000
-    seen = b""
+    output = b""
     for _ in range(50):
         clock[0] += 1.0
         log.write("served", False, {"request": "after"})
-        seen += os.read(reader, 1_000_000)
-        if b"lines_dropped" in seen:
+        output += os.read(reader, 1_000_000)
+        if b"lines_dropped" in output:
             return
     pytest.fail("the dropped lines were never reported")
 
 
-def test_an_explanation_orders_steps_by_each_nodes_steady_clock():
+def test_an_explanation_orders_steps_by_each_nodes_monotonic_clock():
     lines = [
         '  1.5 n2 {"at":200.0,"steady":9.0,"node":"n2","event":"sent","request":"r"}',
         '{"at":100.0,"steady":5.2,"node":"n1","event":"refused","request":"r","reason":"x"}',
@@ -82,12 +82,12 @@
         '{"at":100.5,"steady":5.1,"node":"n1","event":"admitted","request":"other r"}',
         "no json r",
     ]
-    told = explanation(read_lines(lines, "r"))
-    assert [line.split()[3] for line in told] == ["admitted", "refused", "sent"]
-    assert told[1].endswith("reason=x")
+    steps = explanation(read_lines(lines, "r"))
+    assert [line.split()[3] for line in steps] == ["admitted", "refused", "sent"]
+    assert steps[1].endswith("reason=x")
 
 
-def test_figures_are_counted_and_bucketed():
+def test_metrics_have_counters_and_histogram_buckets():
     metrics = Metrics(lambda: [Sample("runners", 3)])
     metrics.count("requests", outcome="served", kind="safe")
     metrics.count("requests", outcome="served", kind="safe")
--- a/tests/router/test_planned_stop.py
+++ b/tests/router/test_planned_stop.py
@@ -18,25 +18,25 @@
 
 
 @pytest.mark.parametrize("timeout_s", [2.0, 15.0])
-def test_while_callers_may_not_know_of_the_stop_everything_is_taken(timeout_s):
+def test_every_request_is_accepted_while_callers_may_not_know_of_the_stop(timeout_s):
     received_at = STOP.ordered_at + CARRIED_ANYWAY_S - 0.01
     assert STOP.may_take(admitted(received_at, timeout_s), received_at)
 
 
-def test_a_late_stream_that_may_run_past_the_end_is_refused_before_it_runs():
+def test_a_late_stream_that_may_outlast_the_grace_period_is_refused():
     """Guards against aborted streams when three routers stop at once and none is left to retry."""
     received_at = STOP.ordered_at + 5.2
     assert not STOP.may_take(admitted(received_at, 15.0), received_at)
 
 
-def test_a_late_request_that_is_answered_in_time_whatever_happens_is_taken():
+def test_a_late_request_with_a_short_timeout_is_accepted():
     received_at = STOP.ordered_at + 5.1
     assert STOP.may_take(admitted(received_at, 2.0), received_at)
     received_at = STOP.ordered_at + 5.3
     assert not STOP.may_take(admitted(received_at, 2.0), received_at)
 
 
-def test_the_process_ends_within_the_grace_period():
+def test_remaining_requests_are_aborted_within_the_grace_period():
     shorter = attrs.evolve(STOP, grace_s=5.0)
     assert STOP.lingers_until < STOP.ends_at < STOP.ordered_at + STOP.grace_s
     assert shorter.ends_at < shorter.ordered_at + 5.0
--- a/tests/router/test_route_table.py
+++ b/tests/router/test_route_table.py
@@ -12,7 +12,7 @@
     return Call(b"id", host, path, key, 1.0, None, (), 0, 0)
 
 
-def test_the_longest_prefix_that_begins_the_path_wins():
+def test_the_longest_matching_prefix_wins():
     short, long = route(name="short", path_prefix="/a/"), route(name="long", path_prefix="/a/b/")
     table = RouteTable(configuration(1, routes=(short, long)))
     assert table.route(call("/a/b/c")).name == "long"
@@ -21,7 +21,7 @@
     assert table.route(call("/a/x", host="other")) is None
 
 
-def test_keys_name_tenants():
+def test_api_keys_identify_tenants():
     table = RouteTable(configuration(1))
     assert table.tenant(call("/a/")).name == "t"
     assert table.tenant(call("/a/", key=b"other")) is None
@@ -29,9 +29,9 @@
     assert table.needs_key(route()) and not table.needs_key(route(is_open=True))
 
 
-def test_a_split_gives_each_service_its_share_in_any_stretch():
+def test_a_split_gives_each_service_its_share_in_any_interval():
     parts = (WeightedService("x", 90), WeightedService("y", 10))
-    splits = SplitCounter()
-    dealt = [splits.next_service(route(split=parts)) for _ in range(200)]
-    assert collections.Counter(dealt) == {"x": 180, "y": 20}
-    assert collections.Counter(dealt[:10]) == {"x": 9, "y": 1}
+    splitter = SplitCounter()
+    chosen = [splitter.next_service(route(split=parts)) for _ in range(200)]
+    assert collections.Counter(chosen) == {"x": 180, "y": 20}
+    assert collections.Counter(chosen[:10]) == {"x": 9, "y": 1}
--- a/tests/router/test_router_checkers.py
+++ b/tests/router/test_router_checkers.py
@@ -45,129 +45,129 @@
 )
 
 
-def found(**changes):
+def violated_checks(**changes):
     history = attrs.evolve(CLEAN, **changes)
     return {text.partition(":")[0] for text in check_all(history, BOUNDS)}
 
 
 def test_a_clean_history_has_no_violation():
-    assert found() == set()
+    assert violated_checks() == set()
 
 
-def test_a_payment_that_ran_twice():
-    assert found(runs=[*CLEAN.runs, RunRecord("p1", "i2", 11.0, "growers")]) == {"at most once"}
+def test_a_payment_that_ran_twice_is_found():
+    assert violated_checks(runs=[*CLEAN.runs, RunRecord("p1", "i2", 11.0, "growers")]) == {"at most once"}
 
 
-def test_a_refused_payment_that_ran():
-    assert found(runs=[*CLEAN.runs, RunRecord("p2", "i2", 11.0, "growers")]) == {"refused"}
+def test_a_refused_payment_that_ran_is_found():
+    assert violated_checks(runs=[*CLEAN.runs, RunRecord("p2", "i2", 11.0, "growers")]) == {"refused"}
 
 
-def test_anothers_answer_and_a_stream_with_a_gap():
+def test_a_swapped_response_and_a_stream_with_a_gap_are_found():
     other = CallRecord("p3", "pay", "k", 10.0, 200, b"answer to p1")
     gap = CallRecord("a2", "ask", "k", 10.0, 200, b"id: 2\ny\n\n")
-    assert found(calls=[*CLEAN.calls, other]) == {"own answer"}
-    assert found(calls=[*CLEAN.calls, gap]) == {"own answer"}
+    assert violated_checks(calls=[*CLEAN.calls, other]) == {"own answer"}
+    assert violated_checks(calls=[*CLEAN.calls, gap]) == {"own answer"}
 
 
-def test_a_run_that_nobody_asked_for_or_under_another_tenant():
-    assert found(runs=[*CLEAN.runs, RunRecord("x", "i2", 11.0, "growers")]) == {"unasked"}
-    assert found(runs=[*CLEAN.runs, RunRecord("a1", "i2", 11.0, "other")]) == {"unasked"}
+def test_an_unrequested_run_and_one_under_another_tenant_are_found():
+    assert violated_checks(runs=[*CLEAN.runs, RunRecord("x", "i2", 11.0, "growers")]) == {"unasked"}
+    assert violated_checks(runs=[*CLEAN.runs, RunRecord("a1", "i2", 11.0, "other")]) == {"unasked"}
 
 
-def test_a_run_long_after_its_key_was_taken_away():
+def test_a_run_long_after_its_key_was_revoked_is_found():
     late = CallRecord("p4", "pay", "gone", 9.5, 502, b"")
     runs = [*CLEAN.runs, RunRecord("p4", "i2", 9.6, "growers")]
-    assert found(calls=[*CLEAN.calls, late], runs=runs) == {"revoked"}
+    assert violated_checks(calls=[*CLEAN.calls, late], runs=runs) == {"revoked"}
 
 
-def test_a_run_at_a_runner_that_left_unless_there_was_trouble():
+def test_a_run_at_a_departed_runner_is_found_unless_a_fault_excuses_it():
     runs = [*CLEAN.runs, RunRecord("a1", "i3", 6.5, "growers")]
-    assert found(runs=runs) == {"leaving"}
-    assert found(runs=runs, troubles=[Trouble(None, 5.0, 6.0)]) == set()
+    assert violated_checks(runs=runs) == {"leaving"}
+    assert violated_checks(runs=runs, troubles=[Trouble(None, 5.0, 6.0)]) == set()
 
 
-def test_two_holders_with_one_token_and_a_falling_token():
-    assert found(orders=[*CLEAN.orders, OrderRecord("i2", "h3", 2, 9.5)]) == {"one holder"}
-    assert found(orders=[*CLEAN.orders, OrderRecord("i1", "h1", 1, 9.5)]) == {"one holder"}
+def test_a_shared_and_a_decreasing_fencing_token_are_found():
+    assert violated_checks(orders=[*CLEAN.orders, OrderRecord("i2", "h3", 2, 9.5)]) == {"one holder"}
+    assert violated_checks(orders=[*CLEAN.orders, OrderRecord("i1", "h1", 1, 9.5)]) == {"one holder"}
 
 
-def test_a_key_that_was_given_again_may_be_used():
+def test_a_reissued_key_may_be_used():
     late = CallRecord("p4", "pay", "gone", 30.0, 200, b"answer to p4")
     runs = [*CLEAN.runs, RunRecord("p4", "i2", 30.1, "growers")]
     again = [Revocation("gone", 4.0, until=20.0)]
-    assert found(calls=[*CLEAN.calls, late], runs=runs, revocations=again) == set()
+    assert violated_checks(calls=[*CLEAN.calls, late], runs=runs, revocations=again) == set()
 
 
-def test_trouble_of_another_router_excuses_no_late_run():
+def test_faults_of_another_router_excuse_no_late_run():
     calls = [attrs.evolve(call, router="r1") for call in CLEAN.calls]
     runs = [*CLEAN.runs, RunRecord("a1", "i3", 6.5, "growers")]
-    assert found(calls=calls, runs=runs, troubles=[Trouble("r1", 5.0, 6.0)]) == set()
-    assert found(calls=calls, runs=runs, troubles=[Trouble("r2", 5.0, 6.0)]) == {"leaving"}
+    assert violated_checks(calls=calls, runs=runs, troubles=[Trouble("r1", 5.0, 6.0)]) == set()
+    assert violated_checks(calls=calls, runs=runs, troubles=[Trouble("r2", 5.0, 6.0)]) == {"leaving"}
 
 
-LIVES = [
+ROUTER_LIVES = [
     RouterLife("r1", 0.0),
     RouterLife("r2", 0.0, ended_at=10.0),
     RouterLife("r3", 0.0, leaving_at=10.0, ended_at=14.0),
 ]
 
 
-def named(addresses, asked_at, **changes):
-    return found(lives=LIVES, directory=[DirectoryAnswer("r1", asked_at, addresses)], **changes)
+def directory_violations(addresses, asked_at, **changes):
+    return violated_checks(lives=ROUTER_LIVES, directory=[DirectoryAnswer("r1", asked_at, addresses)], **changes)
 
 
-def test_a_directory_that_names_a_router_that_ended_or_leaves_or_never_was():
-    assert named(["r1", "r2", "r3"], 14.9) == set()
-    assert named(["r2"], 15.1) == {"directory"}
-    assert named(["r3"], 15.1) == {"directory"}
-    assert named(["r9"], 1.0) == {"directory"}
-    assert named(["r2"], 15.1, troubles=[Trouble("r1", 13.0, 13.5)]) == set()
+def test_a_directory_with_stopped_stopping_or_unknown_routers_is_found():
+    assert directory_violations(["r1", "r2", "r3"], 14.9) == set()
+    assert directory_violations(["r2"], 15.1) == {"directory"}
+    assert directory_violations(["r3"], 15.1) == {"directory"}
+    assert directory_violations(["r9"], 1.0) == {"directory"}
+    assert directory_violations(["r2"], 15.1, troubles=[Trouble("r1", 13.0, 13.5)]) == set()
 
 
-def test_a_router_that_came_back_at_its_address_may_be_named():
-    lives = [*LIVES, RouterLife("r2", 16.0)]
-    assert found(lives=lives, directory=[DirectoryAnswer("r1", 20.0, ["r2"])]) == set()
+def test_a_router_restarted_at_its_address_may_be_listed():
+    lives = [*ROUTER_LIVES, RouterLife("r2", 16.0)]
+    assert violated_checks(lives=lives, directory=[DirectoryAnswer("r1", 20.0, ["r2"])]) == set()
 
 
-def test_a_ready_router_that_takes_no_connection():
+def test_a_ready_router_that_accepts_no_connection_is_found():
     tries = [ConnectionTry("r1", 10.0 + n * 0.5, True, False) for n in range(8)]
-    assert found(tries=tries) == {"connections"}
-    assert found(tries=tries[:6]) == set()
-    assert found(tries=[*tries[:4], ConnectionTry("r1", 11.9, True, True), *tries[4:]]) == set()
-    assert found(tries=[attrs.evolve(item, is_ready=False) for item in tries]) == set()
+    assert violated_checks(tries=tries) == {"connections"}
+    assert violated_checks(tries=tries[:6]) == set()
+    assert violated_checks(tries=[*tries[:4], ConnectionTry("r1", 11.9, True, True), *tries[4:]]) == set()
+    assert violated_checks(tries=[attrs.evolve(item, is_ready=False) for item in tries]) == set()
 
 
-def test_work_for_a_caller_that_left():
+def test_runs_for_a_disconnected_caller_are_found():
     left = CallRecord("a5", "ask", "k", 10.0, None, b"", "r1", left_at=10.5)
     calls = [*CLEAN.calls, left]
-    begun = RunRecord("a5", "i1", 11.6, "growers")
-    gone_on = RunRecord("a5", "i1", 10.1, "growers", ended_at=11.6)
+    started = RunRecord("a5", "i1", 11.6, "growers")
+    continued = RunRecord("a5", "i1", 10.1, "growers", ended_at=11.6)
     in_time = RunRecord("a5", "i1", 10.1, "growers", ended_at=11.4)
-    assert found(calls=calls, runs=[*CLEAN.runs, begun]) == {"left"}
-    assert found(calls=calls, runs=[*CLEAN.runs, gone_on]) == {"left"}
-    assert found(calls=calls, runs=[*CLEAN.runs, in_time]) == set()
+    assert violated_checks(calls=calls, runs=[*CLEAN.runs, started]) == {"left"}
+    assert violated_checks(calls=calls, runs=[*CLEAN.runs, continued]) == {"left"}
+    assert violated_checks(calls=calls, runs=[*CLEAN.runs, in_time]) == set()
 
 
 RATED = attrs.evolve(BOUNDS, rates=(RateBound("greedy", 100, 8.0, 300.0),))
 
 
-def test_a_tenant_that_gets_more_than_its_rate_in_a_window_is_found():
+def test_a_tenant_that_exceeds_its_rate_in_a_window_is_found():
     runs = [RunRecord(f"r{n}", "i1", 10.0 + n, "greedy") for n in (0, 3, 6, 9, 12)]
     stream = b"id: 1\nx\n\nid: 2\ny\n\n"
     calls = [CallRecord(run.request_id, "greedy", "k", 9.0, 200, stream) for run in runs]
     history = attrs.evolve(CLEAN, runs=runs, calls=calls)
     assert check_all(history, RATED) == []
     more = [*runs, RunRecord("r0", "i2", 13.0, "greedy")]
-    found = check_all(attrs.evolve(history, runs=more), RATED)
-    assert "rates: greedy: 400 units within 8.0 s of 10.0" in found
+    violations = check_all(attrs.evolve(history, runs=more), RATED)
+    assert "rates: greedy: 400 units within 8.0 s of 10.0" in violations
 
 
-def test_a_tenant_that_gets_nothing_is_found():
+def test_a_tenant_that_is_never_served_is_found():
     history = attrs.evolve(CLEAN, runs=[])
     assert "rates used: greedy: never served" in check_all(history, RATED)
 
 
-def test_refusals_of_a_greedy_tenant_do_not_count_as_callers_that_are_not_served():
+def test_refusals_of_a_greedy_tenant_do_not_count_as_unserved_callers():
     tries = [ConnectionTry("r", 10.0, True, True)]
     served = [CallRecord(f"s{n}", "slip", "k", 10.0, 200, b"answer to s%d" % n) for n in range(20)]
     greedy = [CallRecord(f"g{n}", "greedy", "k", 10.0, 429, b"") for n in range(90)]
@@ -181,8 +181,8 @@
     calls = [CallRecord("g1", "greedy", "k", 10.0, None, b"")]
     for tenant, is_clean in (("greedy", True), ("growers", False), (None, False)):
         runs = [RunRecord("g1", "i1", 10.1, tenant)]
-        found = check_all(attrs.evolve(CLEAN, calls=calls, runs=runs), BOUNDS)
-        assert (found == []) == is_clean
+        violations = check_all(attrs.evolve(CLEAN, calls=calls, runs=runs), BOUNDS)
+        assert (violations == []) == is_clean
 
 
 LIMIT_BOUND = LimitBound(
@@ -198,8 +198,8 @@
     ]
     arrivals = [LimitArrival(f"l{number}", "i1", 1, at, 1.0) for number, at in enumerate(times)]
     history = attrs.evolve(CLEAN, calls=calls, runs=[], limit_arrivals=arrivals, **changes)
-    found = check_all(history, attrs.evolve(BOUNDS, limit=LIMIT_BOUND))
-    return [text for text in found if text.startswith("limits: ")]
+    violations = check_all(history, attrs.evolve(BOUNDS, limit=LIMIT_BOUND))
+    return [text for text in violations if text.startswith("limits: ")]
 
 
 FIRST_ARRIVAL = [10.0]
@@ -216,12 +216,12 @@
     assert limit_violations([*FIRST_ARRIVAL, *early]) == []
 
 
-def test_requests_count_only_after_the_routers_own_first_limited_answer():
+def test_requests_count_only_after_the_routers_own_first_limited_response():
     times = [*FIRST_ARRIVAL, *EXCESS_ARRIVALS]
     assert limit_violations(times, lambda number: f"r{number}") == []
 
 
-def test_only_routers_in_recent_trouble_are_excused():
+def test_only_routers_with_recent_faults_are_excused():
     times = [*FIRST_ARRIVAL, *EXCESS_ARRIVALS]
     trouble = [Trouble("r1", 12.0, 13.0)]
     assert limit_violations(times, troubles=trouble) == []
--- a/tests/router/test_runner_pool.py
+++ b/tests/router/test_runner_pool.py
@@ -17,12 +17,12 @@
 class FakeConnection:
     """A connection without responses; :meth:`release` returns it to the pool."""
 
-    made = 0
+    created = 0
 
-    def __init__(self, loop, _address, keep, _forget):
-        FakeConnection.made += 1
+    def __init__(self, loop, _address, on_reusable, _on_idle_close):
+        FakeConnection.created += 1
         self.loop = loop
-        self.keep = keep
+        self.on_reusable = on_reusable
         self.is_open = True
         self.was_kept = False
         self.keep_alive_s = 10.0
@@ -31,10 +31,10 @@
     def send(self, *_arguments):
         pass
 
-    def rest(self):
+    def release(self):
         self.idle_since = self.loop.now()
         self.was_kept = True
-        self.keep(self)
+        self.on_reusable(self)
 
     def close(self):
         self.is_open = False
@@ -43,51 +43,51 @@
 @pytest.fixture
 def pool(monkeypatch):
     monkeypatch.setattr(runner_pool, "ClientConnection", FakeConnection)
-    FakeConnection.made = 0
-    made = RunnerPool(FakeLoop())
-    made.update({"i-0": runner("i-0")})
-    return made
+    FakeConnection.created = 0
+    pool = RunnerPool(FakeLoop())
+    pool.update({"i-0": runner("i-0")})
+    return pool
 
 
 def send(pool, may_repeat=False):
     return pool.send(pool.state("i-0"), b"", None, (b"", b""), may_repeat)
 
 
-def test_a_request_that_must_not_run_twice_takes_a_connection_that_rested_shortly(pool):
+def test_an_unrepeatable_request_reuses_only_recently_used_connections(pool):
     first = send(pool)
-    first.rest()
+    first.release()
     pool._loop.time += SAFE_REST_S - 0.1
     assert send(pool) is first
-    first.rest()
+    first.release()
     pool._loop.time += SAFE_REST_S + 0.1
     assert send(pool) is not first
     assert send(pool, may_repeat=True) is first
 
 
-def test_after_a_runner_forgot_a_connection_only_fresh_ones_are_taken_for_a_while(pool):
+def test_a_stale_connection_lowers_the_idle_limit_for_a_while(pool):
     first = send(pool)
-    first.rest()
+    first.release()
     pool.note_broken(send(pool, may_repeat=True))
-    first.rest()
+    first.release()
     pool._loop.time += SUSPECT_REST_S + 0.1
     assert send(pool) is not first
     pool._loop.time += FORGETFUL_S
     again = send(pool, may_repeat=True)
-    again.rest()
+    again.release()
     pool._loop.time += SAFE_REST_S - 0.1
     assert send(pool) is again
 
 
-def test_a_new_connection_that_breaks_says_nothing_of_kept_ones(pool):
+def test_a_broken_new_connection_does_not_lower_the_idle_limit(pool):
     pool.note_broken(send(pool))
     second = send(pool)
-    second.rest()
+    second.release()
     pool._loop.time += SAFE_REST_S - 0.1
     assert send(pool) is second
 
 
-def test_a_connection_to_a_runner_that_is_no_longer_listed_is_not_kept(pool):
+def test_a_connection_to_an_unlisted_runner_is_closed(pool):
     connection = send(pool)
     pool.update({})
-    connection.rest()
+    connection.release()
     assert not connection.is_open
--- a/tests/router/test_soak.py
+++ b/tests/router/test_soak.py
@@ -23,27 +23,27 @@
     to_text,
 )
 
-FAILED_ONCE = [
+REGRESSION_SEEDS = [
     pytest.param(101, 3, id="101: SIGHUP ended routers that were starting"),
     pytest.param(302, 5, id="302: the same"),
     pytest.param(3004, 16, id="3004: gossip slowed down by routers that had left"),
 ]
 """Seeds and numbers of routers that violated a guarantee before, each with its cause."""
 
-FIXED = [pytest.param(1011, 3, id="1011"), pytest.param(1008, 5, id="1008")]
+FURTHER_SEEDS = [pytest.param(1011, 3, id="1011"), pytest.param(1008, 5, id="1008")]
 """Further seeds: series of restarts, mass restarts, departures and refused connections."""
 
 SCHEDULES = Path(__file__).with_name("schedules")
 
 
-def played(seed, routers, minutes, folder):
+def run_soak(seed, routers, minutes, folder):
     options = ["--minutes", str(minutes), "--seed", str(seed), "--routers", str(routers)]
     return CliRunner().invoke(soak, [*options, "--keep-logs", str(folder)])
 
 
-@pytest.mark.parametrize(("seed", "routers"), [*FAILED_ONCE, *FIXED])
+@pytest.mark.parametrize(("seed", "routers"), [*REGRESSION_SEEDS, *FURTHER_SEEDS])
 def test_promises_hold_under_faults(seed, routers, tmp_path):
-    result = played(seed, routers, 0.25, tmp_path / "logs")
+    result = run_soak(seed, routers, 0.25, tmp_path / "logs")
     assert result.exit_code == 0, result.output
     assert " 0 violations" in result.output
 
@@ -67,7 +67,7 @@
     assert " 0 violations" in result.output
 
 
-def test_promises_hold_while_runners_start_again_and_entries_are_broken(tmp_path):
+def test_guarantees_hold_under_runner_restarts_and_broken_entries(tmp_path):
     options = ["--minutes", "0.25", "--seed", "5001", "--runner-starts"]
     result = CliRunner().invoke(soak, [*options, "--keep-logs", str(tmp_path / "logs")])
     assert result.exit_code == 0, result.output
@@ -89,7 +89,7 @@
 
 
 # Guards against ready routers that do not respond on unknown routes while the store hangs.
-def test_ready_routers_answer_while_the_store_is_silent(tmp_path):
+def test_ready_routers_respond_while_the_store_hangs(tmp_path):
     options = ["--schedule", str(SCHEDULES / "store-silent.jsonl")]
     result = CliRunner().invoke(soak, [*options, "--keep-logs", str(tmp_path / "logs")])
     assert result.exit_code == 0, result.output
@@ -104,61 +104,61 @@
     assert " 0 violations" in result.output
 
 
-class UnrestingFaults:
+class DelayedWeightsFaults:
     """Runners that have the newest weights only some polls after the last fault."""
 
     crashed_at = 0.0
 
-    def __init__(self, looks):
-        self.looks_left = looks
-        self.looks_after = 0
+    def __init__(self, polls):
+        self.polls_left = polls
+        self.polls_after = 0
 
     def end_all(self):
         pass
 
     def go_on(self):
-        self.looks_after += not self.looks_left
+        self.polls_after += not self.polls_left
 
     def has_old_weights(self):
-        self.looks_left = max(0, self.looks_left - 1)
-        return self.looks_left > 0
+        self.polls_left = max(0, self.polls_left - 1)
+        return self.polls_left > 0
 
 
-def test_callers_go_on_until_runners_have_the_newest_weights(monkeypatch):
+def test_callers_continue_until_runners_have_the_newest_weights(monkeypatch):
     monkeypatch.setattr(soak_program, "SETTLE_S", 0.1)
     monkeypatch.setattr(soak_program, "LOOK_S", 0.001)
-    faults = UnrestingFaults(looks=200)
+    faults = DelayedWeightsFaults(polls=200)
     soak_program._strike([], faults)
-    assert faults.looks_left == 0 and faults.looks_after > 10
+    assert faults.polls_left == 0 and faults.polls_after > 10
 
 
-def test_callers_do_not_wait_for_weights_for_ever(monkeypatch):
+def test_callers_stop_waiting_for_weights_after_a_limit(monkeypatch):
     monkeypatch.setattr(soak_program, "SETTLE_S", 0.01)
     monkeypatch.setattr(soak_program, "MOST_SETTLE_S", 0.05)
-    faults = UnrestingFaults(looks=10**9)
+    faults = DelayedWeightsFaults(polls=10**9)
     soak_program._strike([], faults)
-    assert faults.looks_left > 0
+    assert faults.polls_left > 0
 
 
-def test_series_of_runners_come_on_top_of_a_seeds_schedule():
+def test_runner_faults_are_added_to_a_seeds_unchanged_schedule():
     """Guards against changed schedules of seeds that violated a guarantee before."""
     for seed in range(20):
-        steps, more = draw_schedule(seed, 60.0), draw_schedule(seed, 60.0, True)
-        added = [step for step in more if step.kind in RUNNER_KINDS]
+        steps, with_runner_faults = draw_schedule(seed, 60.0), draw_schedule(seed, 60.0, True)
+        added = [step for step in with_runner_faults if step.kind in RUNNER_KINDS]
         assert {step.kind for step in added} == set(RUNNER_KINDS)
-        assert [step for step in more if step not in added] == steps
+        assert [step for step in with_runner_faults if step not in added] == steps
         deadly = draw_schedule(seed, 60.0, has_deadly=True)
         assert [step for step in deadly if step.kind not in DEADLY_KINDS] == steps
         assert 0 < len(deadly) - len(steps) <= MOST_DEADLY
 
 
-def test_a_schedule_is_drawn_from_its_seed_and_can_be_written_and_read():
+def test_a_schedule_depends_on_its_seed_only_and_survives_serialization():
     steps = draw_schedule(7, 60.0)
     assert steps == draw_schedule(7, 60.0) != draw_schedule(8, 60.0)
     assert from_text(to_text(steps)) == steps
 
 
-def test_series_overlap_each_with_its_own_rhythm():
+def test_series_of_faults_overlap_with_separate_intervals():
     overlaps = 0
     for seed in range(40):
         steps = draw_schedule(seed, 60.0)
@@ -173,12 +173,12 @@
     assert overlaps > 30
 
 
-def test_a_line_that_is_no_step_is_named():
+def test_an_invalid_line_of_a_schedule_is_reported_by_number():
     with pytest.raises(ValueError, match="line 2"):
         from_text(to_text(draw_schedule(1, 5.0)[:1]) + "{}\n")
 
 
-def test_a_relay_is_not_made_at_an_address_drawn_before(monkeypatch):
+def test_a_relay_binds_its_port_directly(monkeypatch):
     """Guards against a free port that another process takes before the relay binds it."""
     with socket.create_server(("127.0.0.1", 0)) as other:
         taken = f"127.0.0.1:{other.getsockname()[1]}"
@@ -187,7 +187,7 @@
 
 
 # Guards against routers that cannot start because one was given the internal port of all.
-def test_the_internal_port_is_not_drawn_again(monkeypatch):
+def test_the_internal_port_is_not_allocated_twice(monkeypatch):
     drawn = iter([7001, 7002, 7003, 7004])
 
     class DrawnSocket(contextlib.nullcontext):
@@ -204,7 +204,7 @@
     assert platform_deployment.free_ports("127.0.0.1", 3, taken=7002) == [7001, 7003, 7004]
 
 
-def test_a_deployment_that_does_not_come_up_leaves_no_process_behind(monkeypatch, tmp_path):
+def test_a_deployment_that_fails_to_start_leaves_no_process_running(monkeypatch, tmp_path):
     """Guards against router processes that keep running after a failed startup."""
     program = tmp_path / "never_ready.py"
     program.write_text("import signal\nsignal.pause()\n")
--- a/tests/router/test_soak_guards.py
+++ b/tests/router/test_soak_guards.py
@@ -41,7 +41,7 @@
 }
 
 
-CHECKERS = {"entries": "leaving"}
+CHECKER_NAMES = {"entries": "leaving"}
 """The checker that finds the violation of a removed guard, where their names differ."""
 
 
@@ -49,7 +49,7 @@
 """Callers of the greedy tenant: a single one stays below the bound if responses are slow."""
 
 
-def unguarded(guard):
+def run_unguarded(guard):
     """Return the violations of a deployment whose routers run without a guard."""
     deployment = PlatformDeployment(
         3, 3, 3, has_relays=True, program=PROGRAM, environment={"UNGUARDED": guard}
@@ -61,10 +61,10 @@
 @pytest.fixture(scope="module")
 def violations():
     """Return violations by removed guard; all deployments run in parallel."""
-    with ThreadPoolExecutor(len(GUARDS)) as plays:
-        return dict(zip(GUARDS, plays.map(unguarded, GUARDS), strict=True))
+    with ThreadPoolExecutor(len(GUARDS)) as pool:
+        return dict(zip(GUARDS, pool.map(run_unguarded, GUARDS), strict=True))
 
 
 @pytest.mark.parametrize("guard", GUARDS)
 def test_a_checker_fails_without_its_guard(violations, guard):
-    assert CHECKERS.get(guard, guard) in {text.partition(":")[0] for text in violations[guard]}
+    assert CHECKER_NAMES.get(guard, guard) in {text.partition(":")[0] for text in violations[guard]}
--- a/tests/router/test_start_signals.py
+++ b/tests/router/test_start_signals.py
@@ -29,7 +29,7 @@
     )
 
 
-def ended_by(number, delay_ms, settings):
+def is_terminated_by(number, delay_ms, settings):
     """Return whether a signal sent some time after the start terminates the process."""
     process = start_router(settings)
     threading.Event().wait(delay_ms / 1000)
@@ -41,11 +41,11 @@
 def test_a_hang_up_at_no_moment_of_a_start_ends_a_router(tmp_path):
     # Without a settings file a router that is not terminated by the signal exits by itself.
     settings = tmp_path / "missing.toml"
-    ended = {
-        delay_ms: sum(ended_by(signal.SIGHUP, delay_ms, settings) for _ in range(STARTS_PER_DELAY))
+    terminated = {
+        delay_ms: sum(is_terminated_by(signal.SIGHUP, delay_ms, settings) for _ in range(STARTS_PER_DELAY))
         for delay_ms in DELAYS_MS
     }
-    assert not any(ended.values()), f"terminated, of {STARTS_PER_DELAY}, by delay in ms: {ended}"
+    assert not any(terminated.values()), f"terminated, of {STARTS_PER_DELAY}, by delay in ms: {terminated}"
 
 
 FIRST_IMPORT = """
@@ -68,13 +68,13 @@
 
 
 # Guards against routers terminated by a reload signal while they import their modules.
-def test_a_router_ignores_a_hang_up_before_it_imports_anything():
+def test_a_router_ignores_sighup_before_its_first_import():
     command = [sys.executable, "-S", "-c", FIRST_IMPORT, str(ROOT / "deploy" / "router.py")]
     assert subprocess.run(command, check=False, timeout=30).returncode == 0
 
 
 # Guards against losing a stop requested during startup: the router would serve until it is killed.
-def test_a_stop_at_any_moment_of_a_start_ends_a_router_in_time():
+def test_a_stop_during_startup_stops_a_router_within_the_grace_period():
     with PlatformDeployment(routers=10) as running:
         for router in running.routers:
             running.stop(router, signal.SIGKILL)
@@ -83,5 +83,5 @@
             running.start(router)
             threading.Event().wait(0.04 * number)
             running.stop(router)
-        ends = {router.process.wait(timeout=GRACE_S) for router in running.routers}
-    assert ends <= {0, -signal.SIGTERM}
+        exit_codes = {router.process.wait(timeout=GRACE_S) for router in running.routers}
+    assert exit_codes <= {0, -signal.SIGTERM}
--- a/tests/router/test_whole_path.py
+++ b/tests/router/test_whole_path.py
@@ -1,4 +1,4 @@
-"""Real router processes on loopback with a simulated platform, and failures explained from logs."""
+"""Real router processes on loopback with a simulated platform; failures are explained from logs."""
 
 import contextlib
 import json
@@ -27,44 +27,44 @@
             runner.fault = lambda: Fault.NONE
 
 
-def first_time(fault):
+def only_first_request(fault):
     """Return a fault that affects the first request only."""
     faults = [fault]
     return lambda: faults.pop() if faults else Fault.NONE
 
 
-def strike(deployment, service, fault):
-    shared = first_time(fault)
+def inject_fault(deployment, service, fault):
+    shared = only_first_request(fault)
     for runner in deployment.runners:
         if runner.service == service:
             runner.fault = shared
 
 
-def explained(deployment, request_id):
+def explain_request(deployment, request_id):
     logs = [str(router.log) for router in deployment.routers]
     result = CliRunner().invoke(main, ["explain", request_id, *logs])
     return result.output
 
 
-def wait_explained(deployment, request_id, *words):
+def wait_for_explanation(deployment, request_id, *words):
     """Wait until the explanation of a request contains these words; logs lag its response."""
-    found = ""
+    explanation = ""
 
-    def is_explained():
-        nonlocal found
-        found = explained(deployment, request_id)
-        return all(word in found for word in words)
+    def contains_words():
+        nonlocal explanation
+        explanation = explain_request(deployment, request_id)
+        return all(word in explanation for word in words)
 
     with contextlib.suppress(TimeoutError):
-        deployment.wait(is_explained)
-    assert all(word in found for word in words), found
+        deployment.wait(contains_words)
+    assert all(word in explanation for word in words), explanation
 
 
 def test_requests_of_every_kind_are_served_once_and_unchanged(deployment):
     for path in ("/pay/x?q=1", "/slip/x", "/ask/x", "/once/x"):
         request_id = "calm" + path.replace("/", "-").replace("?", "-")
-        answer = deployment.ask(path, request_id)
-        assert answer.status == 200, answer.data
+        response = deployment.ask(path, request_id)
+        assert response.status == 200, response.data
         runs = deployment.runs_of(request_id)
         assert len(runs) == 1
         assert runs[0].path == path
@@ -72,7 +72,7 @@
         if path.startswith("/pay"):
             assert runs[0].body == b"body of " + request_id.encode()
         if path.startswith(("/ask", "/once")):
-            assert answer.data.count(b"\n\n") == 6
+            assert response.data.count(b"\n\n") == 6
             assert runs[0].salt.startswith(f"{MODEL}/1/")
 
 
@@ -82,54 +82,54 @@
     assert deployment.runs_of("deny-1") + deployment.runs_of("deny-2") == []
 
 
-def test_an_unsafe_request_whose_answer_is_lost_runs_once_and_its_end_is_explained(deployment):
-    strike(deployment, "ledger", Fault.LOST_ANSWER)
-    answer = deployment.ask("/pay/x", "lost-1")
-    assert answer.status == 502
+def test_an_unsafe_request_with_a_lost_response_runs_once_and_is_explained(deployment):
+    inject_fault(deployment, "ledger", Fault.LOST_ANSWER)
+    response = deployment.ask("/pay/x", "lost-1")
+    assert response.status == 502
     assert len(deployment.runs_of("lost-1")) == 1
     words = ("failure=broken", "step=answer unknown", "configuration_age_ms")
-    wait_explained(deployment, "lost-1", *words)
+    wait_for_explanation(deployment, "lost-1", *words)
 
 
-def test_a_safe_request_whose_answer_is_lost_is_served_by_another_runner(deployment):
-    strike(deployment, "ledger", Fault.LOST_ANSWER)
+def test_a_safe_request_with_a_lost_response_is_served_by_another_runner(deployment):
+    inject_fault(deployment, "ledger", Fault.LOST_ANSWER)
     assert deployment.ask("/slip/x", "lost-2").status == 200
     assert len(deployment.runs_of("lost-2")) == 2
 
 
-def test_a_request_that_no_runner_takes_is_refused_with_a_time_and_explained(deployment):
+def test_a_request_that_no_runner_accepts_gets_a_retry_time_and_is_explained(deployment):
     for runner in deployment.runners:
         runner.fault = lambda: Fault.FULL
-    answer = deployment.ask("/pay/x", "full-1")
-    assert answer.status == 503
-    assert float(answer.headers["Retry-After"]) > 0
+    response = deployment.ask("/pay/x", "full-1")
+    assert response.status == 503
+    assert float(response.headers["Retry-After"]) > 0
     assert deployment.runs_of("full-1") == []
-    wait_explained(deployment, "full-1", "reason=", "failure=not executed")
+    wait_for_explanation(deployment, "full-1", "reason=", "failure=not executed")
 
 
-def test_a_stream_that_breaks_midway_goes_on_elsewhere_after_its_last_whole_event(deployment):
-    strike(deployment, "llm", Fault.CUT_MIDWAY)
-    answer = deployment.ask("/ask/x", "cut-1")
-    ids = [int(line[4:]) for line in answer.data.split(b"\n") if line.startswith(b"id: ")]
+def test_a_broken_stream_is_resumed_at_another_runner_after_its_last_event(deployment):
+    inject_fault(deployment, "llm", Fault.CUT_MIDWAY)
+    response = deployment.ask("/ask/x", "cut-1")
+    ids = [int(line[4:]) for line in response.data.split(b"\n") if line.startswith(b"id: ")]
     assert ids == [1, 2, 3, 4, 5, 6]
     assert len(deployment.runs_of("cut-1")) == 2
 
 
-def test_a_stream_that_must_not_be_resumed_is_broken_off_and_explained(deployment):
-    strike(deployment, "llm", Fault.CUT_MIDWAY)
+def test_an_unresumable_broken_stream_is_aborted_and_explained(deployment):
+    inject_fault(deployment, "llm", Fault.CUT_MIDWAY)
     with pytest.raises(Exception, match=r"IncompleteRead|InvalidChunk|Connection broken"):
         deployment.ask("/once/x", "cut-2")
     assert len(deployment.runs_of("cut-2")) == 1
-    wait_explained(deployment, "cut-2", "broken_off", "step=break off")
+    wait_for_explanation(deployment, "cut-2", "broken_off", "step=break off")
 
 
-def test_an_answer_without_its_runners_signature_never_reaches_the_caller(deployment):
-    strike(deployment, "ledger", Fault.NO_SIGNATURE)
-    answer = deployment.ask("/pay/x", "forged-1")
-    assert answer.status == 502 and b"forged" not in answer.data
+def test_an_unsigned_response_is_not_returned_to_the_caller(deployment):
+    inject_fault(deployment, "ledger", Fault.NO_SIGNATURE)
+    response = deployment.ask("/pay/x", "forged-1")
+    assert response.status == 502 and b"forged" not in response.data
 
 
-def test_a_revoked_key_and_a_new_one_are_in_force_everywhere(deployment):
+def test_added_and_revoked_keys_take_effect_at_all_routers(deployment):
     deployment.publish(5, keys=("key-1", "key-2"))
     for router in deployment.routers:
         deployment.wait(
@@ -142,7 +142,7 @@
         )
 
 
-def test_named_weights_reach_every_runner_by_one_holder(deployment):
+def test_target_weights_are_ordered_at_every_runner_by_one_lease_holder(deployment):
     deployment.store.put("versions", MODEL, {"model": MODEL, "version": 2})
     runners = [runner for runner in deployment.runners if runner.model]
     deployment.wait(lambda: all(runner.weights == 2 for runner in runners))
@@ -152,14 +152,14 @@
     assert deployment.runs_of("weights-1")[0].salt.startswith(f"{MODEL}/2/")
 
 
-def test_figures_are_told_in_prometheus_text(deployment):
+def test_metrics_are_served_in_prometheus_text_format(deployment):
     url = deployment.routers[0].url("internal", "/metrics")
     text = deployment.http.request("GET", url, timeout=2).data.decode()
     assert "martenrun_requests_total{" in text
     assert "martenrun_configuration_age_seconds" in text
 
 
-def test_changed_settings_come_into_force_and_faulty_ones_are_told(deployment):
+def test_changed_settings_are_applied_and_invalid_ones_logged(deployment):
     router = deployment.routers[0]
     good = router.settings.read_text()
     router.settings.write_text(good.replace("grace_s = 8", 'grace_s = "long"'))
@@ -180,33 +180,33 @@
         assert "started" in events
 
 
-def test_a_drained_runner_gets_no_new_request(deployment):
-    leaving = next(runner for runner in deployment.runners if runner.service == "ledger")
-    leaving.is_draining = True
-    deployment.list_runner(leaving)
-    count = len(leaving.runs)
-    deployment.wait(lambda: _served_elsewhere(deployment, leaving))
-    before = len(leaving.runs)
+def test_a_draining_runner_gets_no_new_requests(deployment):
+    draining = next(runner for runner in deployment.runners if runner.service == "ledger")
+    draining.is_draining = True
+    deployment.list_runner(draining)
+    count = len(draining.runs)
+    deployment.wait(lambda: _served_elsewhere(deployment, draining))
+    before = len(draining.runs)
     for number in range(10):
         assert deployment.ask("/slip/x", f"drain-{number}").status == 200
-    assert len(leaving.runs) == before >= count
+    assert len(draining.runs) == before >= count
 
 
-def _served_elsewhere(deployment, leaving):
-    before = len(leaving.runs)
+def _served_elsewhere(deployment, draining):
+    before = len(draining.runs)
     for router in deployment.routers:
         for _ in range(4):
             deployment.ask("/slip/x", "drain-probe", router)
-    return len(leaving.runs) == before
+    return len(draining.runs) == before
 
 
-def test_a_router_that_restarts_while_the_store_is_down_learns_from_another(deployment):
+def test_a_router_restarted_during_a_store_outage_gets_its_state_from_another(deployment):
     router = deployment.routers[1]
     deployment.stop(router, 9)
     router.process.wait()
     deployment.store.is_down = True
     deployment.start(router)
-    deployment.wait(lambda: _answers(deployment, router))
+    deployment.wait(lambda: _is_serving(deployment, router))
     deployment.wait(lambda: deployment.is_ready(router))
     assert deployment.ask("/slip/x", "outage-1").status in (200, 503)
     deployment.store.is_down = False
@@ -214,7 +214,7 @@
     assert deployment.ask("/slip/x", "outage-3", router).status == 200
 
 
-def test_keys_are_refused_once_no_knowledge_of_them_is_recent(deployment):
+def test_keys_are_refused_once_the_configuration_is_too_old(deployment):
     deployment.store.is_down = True
     for router in deployment.routers:
         deployment.wait(
@@ -222,7 +222,7 @@
         )
     refused = deployment.ask("/slip/x", "old-1")
     assert refused.status == 503 and float(refused.headers["Retry-After"]) > 0
-    wait_explained(deployment, "old-1", "keys_too_old")
+    wait_for_explanation(deployment, "old-1", "keys_too_old")
     deployment.store.is_down = False
     for router in deployment.routers:
         deployment.wait(
@@ -230,14 +230,14 @@
         )
 
 
-def _answers(deployment, router):
+def _is_serving(deployment, router):
     try:
         return deployment.ask("/slip/x", "outage-probe", router).status in (200, 503)
     except Exception:
         return False
 
 
-def test_runners_that_drained_and_start_again_under_their_id_are_used(deployment):
+def test_drained_runners_that_restart_under_their_id_are_used(deployment):
     runners = [runner for runner in deployment.runners if runner.model is None]
     for runner in runners:
         runner.is_draining = True
@@ -252,7 +252,7 @@
         deployment.list_runner(runner)
 
 
-def test_a_planned_stop_cuts_nothing_off(deployment):
+def test_a_planned_stop_aborts_no_request(deployment):
     """Must be the last test on the deployment because it stops one of the routers."""
     router = deployment.routers[1]
     deployment.stop(router)
@@ -263,7 +263,7 @@
     assert router.process.returncode == 0
 
 
-def test_a_hang_up_while_a_router_starts_does_not_end_it():
+def test_a_starting_router_survives_sighup():
     """Guards against the default action of SIGHUP, seen in the soak with seeds 101 and 302."""
     with PlatformDeployment(routers=1) as running:
         router = running.routers[0]
--- a/tests/router/unguarded_router.py
+++ b/tests/router/unguarded_router.py
@@ -17,7 +17,7 @@
 sys.path.insert(0, str(ENTRY.parent.parent / "src"))
 
 
-def name_everybody():
+def treat_all_routers_as_alive():
     """Treat every router ever seen as alive."""
     from martenrun.router.router_table import RouterTable
 
@@ -25,7 +25,7 @@
     RouterTable.forget_dead = lambda self, now: None
 
 
-def send_to_leaving_runners():
+def ignore_draining_and_removed_runners():
     """Ignore draining and removed runners."""
     from martenrun.router.knowledge import RunnerDirectory
 
@@ -37,21 +37,21 @@
     RunnerDirectory.remove = lambda self, instance: None
 
 
-def keep_unreadable_entries():
+def keep_undecodable_runners():
     """Keep using runners whose entry is undecodable or removed."""
     from martenrun.router.knowledge import RunnerDirectory
 
     RunnerDirectory.remove = lambda self, name: None
 
 
-def tell_no_starts_apart():
+def ignore_runner_instances():
     """Treat a runner that restarts under its id as the previous instance."""
     from martenrun.platform import contents
 
     contents.life_key = lambda name, _born_ms: name
 
 
-def serve_no_new_connection():
+def stop_serving_new_connections():
     """Stop serving new connections of callers after the first seconds."""
     import time
 
@@ -69,32 +69,32 @@
     Server._accepted = accept
 
 
-def work_on_for_callers_that_left():
+def ignore_caller_disconnects():
     """Ignore callers that disconnect."""
     from martenrun.router.forwarding import Forwarding
 
     Forwarding._on_gone = lambda self: None
 
 
-def end_at_a_hang_up():
+def terminate_on_sighup():
     """Let SIGHUP terminate the process, also if the parent process ignores it."""
     signal.signal(signal.SIGHUP, signal.SIG_DFL)
-    signal.signal = _keep_default_of_hang_up(signal.signal)
-    _signal.signal = _keep_default_of_hang_up(_signal.signal)
+    signal.signal = _keep_default_of_sighup(signal.signal)
+    _signal.signal = _keep_default_of_sighup(_signal.signal)
 
 
-def _keep_default_of_hang_up(register):
+def _keep_default_of_sighup(register):
     return lambda number, handler: None if number == signal.SIGHUP else register(number, handler)
 
 
-def hold_nothing_back():
+def block_no_requests():
     """Send requests to runners however many have crashed while serving them."""
     from martenrun.router.blame_table import BlameTable
 
     BlameTable.held_for_s = lambda self, fingerprint, now: 0.0
 
 
-def grant_whatever_is_asked():
+def grant_all_requests():
     """Grant tenants everything that they request."""
     from martenrun.router.quotas.account import Account, Verdict
 
@@ -109,15 +109,15 @@
 
 
 GUARDS = {
-    "directory": name_everybody,
-    "leaving": send_to_leaving_runners,
-    "entries": keep_unreadable_entries,
-    "served again": tell_no_starts_apart,
-    "connections": serve_no_new_connection,
-    "left": work_on_for_callers_that_left,
-    "own end": end_at_a_hang_up,
-    "deadly": hold_nothing_back,
-    "rates": grant_whatever_is_asked,
+    "directory": treat_all_routers_as_alive,
+    "leaving": ignore_draining_and_removed_runners,
+    "entries": keep_undecodable_runners,
+    "served again": ignore_runner_instances,
+    "connections": stop_serving_new_connections,
+    "left": ignore_caller_disconnects,
+    "own end": terminate_on_sighup,
+    "deadly": block_no_requests,
+    "rates": grant_all_requests,
     "limits": ignore_runner_limits,
 }
 """Functions that remove a safeguard, by the checker that must then find a violation."""
