--- a/scripts/measure_blame.py
+++ b/scripts/measure_blame.py
@@ -22,7 +22,14 @@
 from martenrun.router.blame_table import BlameTable
 from martenrun.router.crash_watch import RunnerKnowledge
 from martenrun.router.fingerprint import fingerprint
-from martenrun.router.messages import Admitted, Call, Route, RouteKind, Tenant, WeightedService
+from martenrun.router.messages import (
+    AdmittedRequest,
+    Call,
+    Route,
+    RouteKind,
+    Tenant,
+    WeightedService,
+)
 from martenrun.router.suspects import Suspects
 
 AWAY_S = 2.0
@@ -184,11 +191,11 @@
     )
 
 
-def _admitted() -> Admitted:
+def _admitted() -> AdmittedRequest:
     call = Call(b"r", "a.example", "/a/x", b"k", 3.0, None, (), 0, 0)
     split = (WeightedService("s", 1.0),)
     route = Route("r", "a.example", "/a/", RouteKind.SAFE, 2.0, 0.3, 0, split, 2, False, False)
-    return Admitted(call, route, Tenant("t", 1, False), "s", 103.0, 102.0)
+    return AdmittedRequest(call, route, Tenant("t", 1, False), "s", 103.0, 102.0)
 
 
 if __name__ == "__main__":
--- a/src/martenrun/net/loop.py
+++ b/src/martenrun/net/loop.py
@@ -15,7 +15,7 @@
 
 from martenrun.net import clock
 from martenrun.net.pacing import Pacer
-from martenrun.router.log import log_failure
+from martenrun.router.log import log_exception
 
 READ = selectors.EVENT_READ
 WRITE = selectors.EVENT_WRITE
@@ -186,4 +186,4 @@
     try:
         call(*arguments)
     except Exception as exc:
-        log_failure("loop_call", exc)
+        log_exception("loop_call", exc)
--- a/src/martenrun/platform/contents.py
+++ b/src/martenrun/platform/contents.py
@@ -15,7 +15,7 @@
 from martenrun.router.messages import (
     Configuration,
     EngineLimits,
-    KeptCacheStore,
+    KvCacheStore,
     LeaseRecord,
     Route,
     RouteKind,
@@ -23,9 +23,9 @@
     RunnerReport,
     Service,
     StoredObject,
+    TargetWeights,
     Tenant,
     UnreadableError,
-    WantedWeights,
     WeightedService,
 )
 from martenrun.router.quotas.limit import RateLimit
@@ -189,7 +189,7 @@
             if item.kv_store_addr is None
         },
         stores=tuple(
-            KeptCacheStore(item.kv_store_addr, item.zone)
+            KvCacheStore(item.kv_store_addr, item.zone)
             for item in spec.services
             if item.kv_store_addr is not None
         ),
@@ -264,7 +264,7 @@
         is_draining=entry.state != "ready",
         weights=_weights(entry.models),
         name=stored.name,
-        born_ms=entry.born,
+        started_at_ms=entry.born,
     )
 
 
@@ -279,7 +279,7 @@
         is_loading=report.busy,
         orders_taken=report.call_seq,
         active=report.active,
-        born_ms=report.born,
+        started_at_ms=report.born,
     )
 
 
@@ -287,10 +287,10 @@
     return {model.name: model.version for model in models}
 
 
-def read_weights(stored: StoredObject) -> WantedWeights:
+def read_weights(stored: StoredObject) -> TargetWeights:
     """Translate a named version of a model's weights; raises UnreadableError."""
     spec = _read(stored.spec, _NamedWeights, "named weights")
-    return WantedWeights(spec.model, spec.version)
+    return TargetWeights(spec.model, spec.version)
 
 
 def read_lease(stored: StoredObject) -> LeaseRecord:
--- a/src/martenrun/platform/headers.py
+++ b/src/martenrun/platform/headers.py
@@ -4,7 +4,7 @@
 import re
 
 from martenrun.net.http import Headers, HttpRequest, end_to_end, find_header
-from martenrun.router.messages import AdvertisedLimit, AnswerMarks, Call, Dispatch, PromptPart
+from martenrun.router.messages import AdvertisedLimit, Call, Dispatch, PromptPart, ResponseMetadata
 
 REQUEST_ID = b"x-request-id"
 """Field that carries a request's id, in lower case."""
@@ -97,10 +97,10 @@
     return sent
 
 
-def read_marks(status: int, headers: Headers) -> AnswerMarks:
+def read_marks(status: int, headers: Headers) -> ResponseMetadata:
     """Read what a runner's answer says of itself."""
     is_not_executed = status == 421 or find_header(headers, b"x-not-executed") is not None
-    return AnswerMarks(
+    return ResponseMetadata(
         is_signed=find_header(headers, b"x-response-stamp") is not None,
         is_not_executed=is_not_executed,
         is_encoded=find_header(headers, b"content-encoding") is not None,
--- a/src/martenrun/platform/objects.py
+++ b/src/martenrun/platform/objects.py
@@ -23,8 +23,8 @@
     Dataset.RUNNERS: "servers",
     Dataset.WEIGHTS: "versions",
     Dataset.LEASES: "router-leases",
-    Dataset.BLAME: "router-blame",
-    Dataset.CONTACTS: "router-contacts",
+    Dataset.CRASH_RECORDS: "router-blame",
+    Dataset.PEER_ADDRESSES: "router-contacts",
 }
 _ROOT = "/martenrun/objects/"
 _JSON = [(b"Content-Type", b"application/json")]
--- a/src/martenrun/router/admission.py
+++ b/src/martenrun/router/admission.py
@@ -4,10 +4,10 @@
 
 from martenrun.net.server import Exchange
 from martenrun.router.decisions import DEFAULTS
-from martenrun.router.log import log_trouble
-from martenrun.router.messages import Admitted, Call
-from martenrun.router.route_table import RouteTable, SplitCounter
-from martenrun.router.world import World
+from martenrun.router.log import log_warning
+from martenrun.router.messages import AdmittedRequest, Call
+from martenrun.router.request_services import RequestServices
+from martenrun.router.route_table import RouteTable, TrafficSplitter
 
 KEY_AGE_MARGIN_S = 0.3
 """How long before the bound on revoked keys knowledge counts as too old, in seconds."""
@@ -34,19 +34,19 @@
 class Admission:
     """Admits requests; what would be denied is looked at again with fresh knowledge."""
 
-    def __init__(self, world: World) -> None:
+    def __init__(self, world: RequestServices) -> None:
         self._world = world
-        self._splits = SplitCounter()
+        self._splits = TrafficSplitter()
 
     def read(self, exchange: Exchange) -> Call | Refusal:
         """Read a request; what cannot be understood is refused with 400."""
         try:
-            call = self._world.dialect.read_call(exchange.request)
+            call = self._world.adapter.read_call(exchange.request)
         except (ValueError, UnicodeError):
             return Refusal(400, "unreadable")
         return call if call.request_id else Refusal(400, "no_request_id")
 
-    def decide(self, exchange: Exchange, call: Call) -> Admitted | Refusal:
+    def decide(self, exchange: Exchange, call: Call) -> AdmittedRequest | Refusal:
         """Admit a request by what is known now."""
         now = self._world.loop.now()
         table = self._world.configuration.table
@@ -67,7 +67,7 @@
         received_at = exchange.request.received_at
         deadline_s = NO_DEADLINE_S if call.deadline_s is None else call.deadline_s
         deadline_at = received_at + deadline_s
-        return Admitted(
+        return AdmittedRequest(
             call=call,
             route=route,
             tenant=tenant,
@@ -100,7 +100,7 @@
         else []
     )
     exchange.respond(refusal.status, headers)
-    log_trouble(
+    log_warning(
         "refused",
         request=None if call is None else call.request_id.decode("latin-1"),
         reason=refusal.reason,
--- a/src/martenrun/router/attempt.py
+++ b/src/martenrun/router/attempt.py
@@ -7,16 +7,16 @@
 from martenrun.net.client import CONNECT_TIMEOUT_S, ClientConnection
 from martenrun.net.http import Headers
 from martenrun.router.event_stream import BrokenStreamError
-from martenrun.router.log import log_trouble
-from martenrun.router.messages import Admitted, AnswerMarks, RouteKind
+from martenrun.router.log import log_warning
+from martenrun.router.messages import AdmittedRequest, ResponseMetadata, RouteKind
+from martenrun.router.request_services import RequestServices
 from martenrun.router.retry import Failure
 from martenrun.router.runner_state import LOADING_MEMORY_S, RunnerState
-from martenrun.router.world import World
 
-FULL_MEMORY_S = 0.15
+FULL_RUNNER_BACKOFF_S = 0.15
 """How long a runner that refused a request as full is not chosen, in seconds."""
 
-STOOD_STILL_S = 0.2
+SUSPENSION_MARGIN_S = 0.2
 """A connect that exceeds CONNECT_TIMEOUT_S by more than this many seconds means the process was
 suspended meanwhile.
 """
@@ -29,23 +29,23 @@
 class AttemptLoad:
     """Load that a request puts on a runner: tokens to prefill and KV cache tokens."""
 
-    tokens_to_read: float
-    tokens_held: int
+    prefill_tokens: float
+    kv_cache_tokens: int
 
 
-class AttemptOwner(Protocol):
+class AttemptListener(Protocol):
     """Callbacks for the events of an attempt."""
 
-    def on_answer_head(self, attempt: "Attempt") -> None:
+    def on_response_head(self, attempt: "Attempt") -> None:
         """Handle the response head of a stream."""
 
     def on_stream_data(self, data: bytes) -> None:
         """Handle received stream bytes; raises BrokenStreamError if they are invalid."""
 
-    def on_stream_whole(self, attempt: "Attempt") -> None:
+    def on_stream_complete(self, attempt: "Attempt") -> None:
         """Handle the regular end of a stream."""
 
-    def on_whole(self, attempt: "Attempt") -> None:
+    def on_response_complete(self, attempt: "Attempt") -> None:
         """Handle a complete buffered response."""
 
     def on_failure(self, failure: Failure, attempt: "Attempt") -> None:
@@ -64,34 +64,34 @@
 
     def __init__(
         self,
-        world: World,
-        admitted: Admitted,
-        owner: AttemptOwner,
+        services: RequestServices,
+        admitted: AdmittedRequest,
+        listener: AttemptListener,
         state: RunnerState,
         load: AttemptLoad,
         has_grant: bool = False,
     ) -> None:
-        self._world = world
+        self._services = services
         self._admitted = admitted
-        self._owner = owner
+        self._listener = listener
         self.state = state
-        self._to_read = load.tokens_to_read
-        self._held = load.tokens_held
+        self._prefill_tokens = load.prefill_tokens
+        self._kv_cache_tokens = load.kv_cache_tokens
         self._has_grant = has_grant
-        self.has_begun = False
-        self._began_at = world.loop.now()
-        self._tokens_ahead = state.backlog_tokens + load.tokens_to_read
-        state.reading += load.tokens_to_read
-        state.held += load.tokens_held
-        world.note_reading(state)
+        self.has_body_started = False
+        self._started_at = services.loop.now()
+        self._tokens_ahead = state.backlog_tokens + load.prefill_tokens
+        state.reading += load.prefill_tokens
+        state.held += load.kv_cache_tokens
+        services.on_prefill_changed(state)
         self.connection: ClientConnection | None = None
         self.was_sent = False
-        self.was_cut_off = False
+        self.was_interrupted = False
         self.status = 0
         self.headers: Headers = []
         self.body = bytearray()
         self.is_streamed = False
-        self._marks: AnswerMarks | None = None
+        self._metadata: ResponseMetadata | None = None
         self._is_over = False
 
     def on_sent(self) -> None:
@@ -100,85 +100,85 @@
         It fails if the process was suspended during the connect, because its deadline header was
         computed before.
         """
-        if self._world.loop.now() - self._began_at > CONNECT_TIMEOUT_S + STOOD_STILL_S:
+        if self._services.loop.now() - self._started_at > CONNECT_TIMEOUT_S + SUSPENSION_MARGIN_S:
             self._fail(Failure.NOT_SENT)
             return
-        limits = self._world.runner_limits
+        limits = self._services.runner_limits
         if not self._has_grant and limits.limit(self.state.runner.instance) is not None:
             # The limit was received while connecting; this is not a failure of the runner.
             limits.count("withheld")
             self.cancel()
-            self._owner.on_failure(Failure.NOT_SENT, self)
+            self._listener.on_failure(Failure.NOT_SENT, self)
             return
         self.was_sent = True
 
     def on_head(self, status: int, headers: Headers, length: int | None) -> None:
         """Process the response head; an encoded or unsigned response fails the attempt."""
-        now = self._world.loop.now()
+        now = self._services.loop.now()
         self.state.note_bytes(now)
         self.status = status
         self.headers = headers
-        marks = self._world.dialect.read_marks(status, headers)
-        self._marks = marks
-        self._learn_limit(marks, now)
-        if marks.is_not_executed:
+        metadata = self._services.adapter.read_response_metadata(status, headers)
+        self._metadata = metadata
+        self._record_rate_limit(metadata, now)
+        if metadata.is_not_executed:
             return
-        if marks.is_encoded or (status < 300 and not marks.is_signed):
+        if metadata.is_encoded or (status < 300 and not metadata.is_signed):
             self._fail(Failure.BROKEN)
             return
         is_stream = self._admitted.route.kind is RouteKind.STREAM
         self.is_streamed = is_stream and status < 300
         if self.is_streamed:
-            self._owner.on_answer_head(self)
+            self._listener.on_response_head(self)
 
     def on_body(self, data: bytes) -> None:
         """Process received bytes of the body."""
         if self._is_over:
             return
-        now = self._world.loop.now()
+        now = self._services.loop.now()
         self.state.note_bytes(now)
-        if self.is_streamed and not self.has_begun:
-            speed = self._world.guard(self._admitted.service).speed
-            speed.note(self._tokens_ahead, now - self._began_at)
-        self._has_read()
-        self.has_begun = True
+        if self.is_streamed and not self.has_body_started:
+            prefill_rate = self._services.overload_guard(self._admitted.service).speed
+            prefill_rate.note(self._tokens_ahead, now - self._started_at)
+        self._finish_prefill()
+        self.has_body_started = True
         if not self.is_streamed:
             self.body += data
             return
         try:
-            self._owner.on_stream_data(data)
+            self._listener.on_stream_data(data)
         except BrokenStreamError as exc:
-            log_trouble("stream_amiss", fault=str(exc), instance=self.state.runner.instance)
+            log_warning("stream_amiss", fault=str(exc), instance=self.state.runner.instance)
             self._fail(Failure.BROKEN)
 
     def on_complete(self) -> None:
         """Process the end of a complete response."""
         if self._is_over:
             return
-        if self._marks is not None and self._marks.is_not_executed:
-            self._learn_refusal()
+        if self._metadata is not None and self._metadata.is_not_executed:
+            self._handle_refusal()
             self._finish()
-            self._owner.on_failure(Failure.NOT_EXECUTED, self)
+            self._listener.on_failure(Failure.NOT_EXECUTED, self)
             return
         self._finish()
-        now = self._world.loop.now()
+        now = self._services.loop.now()
         if self.status >= STATUS_SERVER_ERROR:
             self.state.note_failure(now)
         else:
             self.state.note_success(now)
         if self.is_streamed:
-            self._owner.on_stream_whole(self)
+            self._listener.on_stream_complete(self)
         else:
-            self._owner.on_whole(self)
+            self._listener.on_response_complete(self)
 
     def on_broken(self, was_sent: bool) -> None:
         """Process a connection that closed before the end of the response."""
-        now = self._world.loop.now()
-        if not was_sent and now - self._began_at >= CONNECT_TIMEOUT_S:
-            self.state.unanswered_since = self._began_at
+        now = self._services.loop.now()
+        if not was_sent and now - self._started_at >= CONNECT_TIMEOUT_S:
+            self.state.unanswered_since = self._started_at
         if was_sent and not self.status and self.connection is not None:
-            self._world.pool.note_broken(self.connection)
-        self.was_cut_off = was_sent
+            self._services.pool.record_broken_connection(self.connection)
+        self.was_interrupted = was_sent
         self._fail(Failure.BROKEN if was_sent else Failure.NOT_SENT)
 
     def cancel(self) -> None:
@@ -192,50 +192,50 @@
         if self._is_over:
             return
         self.cancel()
-        self.state.note_failure(self._world.loop.now())
-        self._owner.on_failure(failure, self)
+        self.state.note_failure(self._services.loop.now())
+        self._listener.on_failure(failure, self)
 
-    def _has_read(self) -> None:
+    def _finish_prefill(self) -> None:
         """Subtract the prompt from the runner's pending prefill; the first token ends prefill."""
-        if not self._to_read:
+        if not self._prefill_tokens:
             return
-        self.state.reading -= self._to_read
-        self._to_read = 0.0
-        self._world.note_reading(self.state)
+        self.state.reading -= self._prefill_tokens
+        self._prefill_tokens = 0.0
+        self._services.on_prefill_changed(self.state)
 
     def _finish(self) -> None:
         self._is_over = True
-        self._has_read()
-        self.state.held -= self._held
+        self._finish_prefill()
+        self.state.held -= self._kv_cache_tokens
         self.state.note_ended()
 
-    def _learn_limit(self, marks: AnswerMarks, now: float) -> None:
+    def _record_rate_limit(self, metadata: ResponseMetadata, now: float) -> None:
         """Record the rate limit that the response advertises, or its absence.
 
         The absence of a limit counts only in signed responses: unsigned ones may not come from
         the runner.
         """
-        instance = self._world.dialect.answering_instance(self.headers)
+        instance = self._services.adapter.responding_instance(self.headers)
         if self.status == STATUS_MISDIRECTED and instance not in (None, self.state.runner.name):
             return
-        limits = self._world.runner_limits
-        if marks.rate_limit is not None:
-            limits.note_advertised(self.state.runner.instance, marks.rate_limit, now)
-        elif marks.is_signed:
-            limits.note_absent(self.state.runner.instance, self._began_at, now)
-
-    def _learn_refusal(self) -> None:
-        now = self._world.loop.now()
+        limits = self._services.runner_limits
+        if metadata.rate_limit is not None:
+            limits.note_advertised(self.state.runner.instance, metadata.rate_limit, now)
+        elif metadata.is_signed:
+            limits.note_absent(self.state.runner.instance, self._started_at, now)
+
+    def _handle_refusal(self) -> None:
+        now = self._services.loop.now()
         if self.status != STATUS_MISDIRECTED:
-            self.state.full_until = now + FULL_MEMORY_S
+            self.state.full_until = now + FULL_RUNNER_BACKOFF_S
             return
         model = self._admitted.call.model
-        instance = self._world.dialect.answering_instance(self.headers)
-        wanted = None if model is None else self._world.weights.wanted.get(model)
-        if instance != self.state.runner.name or model is None or wanted is None:
+        instance = self._services.adapter.responding_instance(self.headers)
+        target = None if model is None else self._services.weights.wanted.get(model)
+        if instance != self.state.runner.name or model is None or target is None:
             # Another runner uses this address.
             self.state.loading_until = now + LOADING_MEMORY_S
-        elif wanted.version > (self.state.weights_version(model) or 0):
-            self.state.learn_weights(model, wanted.version)
+        elif target.version > (self.state.weights_version(model) or 0):
+            self.state.learn_weights(model, target.version)
         else:
-            self.state.full_until = now + FULL_MEMORY_S
+            self.state.full_until = now + FULL_RUNNER_BACKOFF_S
--- a/src/martenrun/router/blame_store.py
+++ b/src/martenrun/router/blame_store.py
@@ -9,9 +9,9 @@
 from martenrun.net.http import HttpAnswer
 from martenrun.net.loop import Loop
 from martenrun.router.dataset_copy import DatasetCopy
-from martenrun.router.dialect import Dialect
-from martenrun.router.log import log_trouble
+from martenrun.router.log import log_warning
 from martenrun.router.messages import Dataset, HttpCall, StoredObject
+from martenrun.router.platform_adapter import PlatformAdapter
 from martenrun.router.store_client import HttpCaller
 from martenrun.router.suspects import Suspects
 
@@ -48,7 +48,7 @@
         self,
         loop: Loop,
         store: HttpCaller,
-        dialect: Dialect,
+        dialect: PlatformAdapter,
         copy: DatasetCopy,
         suspects: Suspects,
         reads_store: Callable[[], bool],
@@ -84,10 +84,10 @@
         return now - seen_at > RENEWED_S
 
     def _write_call(self, stored: StoredObject | None, now: float) -> HttpCall:
-        spec = self._dialect.blame_spec(self._suspects.table.records(now))
+        spec = self._dialect.crash_records_spec(self._suspects.table.records(now))
         if stored is None:
-            return self._dialect.create_object(Dataset.BLAME, OBJECT_NAME, spec)
-        return self._dialect.replace_object(Dataset.BLAME, stored, spec)
+            return self._dialect.create_object(Dataset.CRASH_RECORDS, OBJECT_NAME, spec)
+        return self._dialect.replace_object(Dataset.CRASH_RECORDS, stored, spec)
 
     def _on_written(self, answer: HttpAnswer | None) -> None:
         self._is_calling = False
@@ -95,4 +95,4 @@
         self._not_before = self._loop.now() + (PAUSE_S if is_known else FAILED_PAUSE_S)
         if not is_known:
             status = None if answer is None else answer.status
-            log_trouble("blame_not_stored", status=status)
+            log_warning("blame_not_stored", status=status)
--- a/src/martenrun/router/caller_stream.py
+++ b/src/martenrun/router/caller_stream.py
@@ -32,33 +32,33 @@
         return self._splitter.last_event_id
 
     @property
-    def has_rest(self) -> bool:
+    def has_partial_event(self) -> bool:
         """Whether an incomplete event is buffered."""
-        return self._splitter.has_rest
+        return self._splitter.has_partial_event
 
-    def restart(self) -> None:
+    def discard_partial_event(self) -> None:
         """Discard the incomplete event of a runner whose stream broke."""
-        self._splitter.restart()
+        self._splitter.discard_partial_event()
 
-    def pass_on(self, attempt: Attempt, data: bytes) -> None:
+    def forward(self, attempt: Attempt, data: bytes) -> None:
         """Forward the complete events to the caller; raises BrokenStreamError."""
         now = self._loop.now()
         for event in self._splitter.feed(data):
             if self.first_event_at is None:
                 self.first_event_at = now
-                self.begin(attempt)
+                self.start_response(attempt)
             else:
                 self.longest_gap_s = max(self.longest_gap_s, now - self._last_event_at)
             self._last_event_at = now
             self._exchange.send(event.data)
 
-    def begin(self, attempt: Attempt) -> None:
+    def start_response(self, attempt: Attempt) -> None:
         """Send the response head of the first runner, once."""
         if not self._exchange.has_started:
             self._exchange.start(attempt.status, end_to_end(attempt.headers), None)
 
-    def first_ms(self, began_at: float) -> float | None:
+    def first_event_delay_ms(self, started_at: float) -> float | None:
         """Return the milliseconds from a start time to the first event, or None without one."""
         if self.first_event_at is None:
             return None
-        return round((self.first_event_at - began_at) * 1000, 1)
+        return round((self.first_event_at - started_at) * 1000, 1)
--- a/src/martenrun/router/contacts.py
+++ b/src/martenrun/router/contacts.py
@@ -13,11 +13,11 @@
 
 from martenrun.net.http import STATUS_OK, HttpAnswer
 from martenrun.net.loop import Loop
-from martenrun.router.dialect import Dialect
 from martenrun.router.knowledge import decoded
-from martenrun.router.log import log_event, log_trouble
+from martenrun.router.log import log_event, log_warning
 from martenrun.router.messages import Dataset, HttpCall, StoredObject
 from martenrun.router.peers import Peers
+from martenrun.router.platform_adapter import PlatformAdapter
 from martenrun.router.store_client import HttpCaller
 
 OBJECT_NAME = "main"
@@ -83,7 +83,7 @@
         self,
         loop: Loop,
         store: HttpCaller,
-        dialect: Dialect,
+        dialect: PlatformAdapter,
         peers: Peers,
         reads_store: Callable[[], bool],
         rng: random.Random | None = None,
@@ -154,7 +154,7 @@
         return [address for address in addresses if address != self._peers.own.address]
 
     def _read(self) -> None:
-        self._call(self._dialect.read_object(Dataset.CONTACTS, OBJECT_NAME), self._on_read)
+        self._call(self._dialect.read_object(Dataset.PEER_ADDRESSES, OBJECT_NAME), self._on_read)
 
     def _on_read(self, answer: HttpAnswer | None) -> None:
         if answer is not None and answer.status == STATUS_NOT_FOUND:
@@ -162,7 +162,7 @@
         elif answer is not None and answer.status == STATUS_OK:
             self._take_stored(answer)
         else:
-            log_trouble("contacts_not_read", status=None if answer is None else answer.status)
+            log_warning("contacts_not_read", status=None if answer is None else answer.status)
 
     def _take_stored(self, answer: HttpAnswer) -> None:
         """Take the object in and get in touch with the routers it names."""
@@ -170,7 +170,7 @@
         stored = decoded(answer.body, self._dialect.read_stored)
         if stored is None:
             return
-        addresses = tuple(decoded(stored, self._dialect.read_contacts) or ())
+        addresses = tuple(decoded(stored, self._dialect.read_peer_addresses) or ())
         self._known = StoredContacts(stored, addresses, now)
         known = self._peers.table.addresses()
         strangers = [address for address in self._others(addresses) if address not in known]
@@ -179,11 +179,11 @@
             self._peers.introduce(strangers)
 
     def _write(self, known: StoredContacts, wanted: tuple[str, ...]) -> None:
-        spec = self._dialect.contacts_spec(wanted)
+        spec = self._dialect.peer_addresses_spec(wanted)
         if known.stored is None:
-            call = self._dialect.create_object(Dataset.CONTACTS, OBJECT_NAME, spec)
+            call = self._dialect.create_object(Dataset.PEER_ADDRESSES, OBJECT_NAME, spec)
         else:
-            call = self._dialect.replace_object(Dataset.CONTACTS, known.stored, spec)
+            call = self._dialect.replace_object(Dataset.PEER_ADDRESSES, known.stored, spec)
         self._call(call, self._on_written)
 
     def _on_written(self, answer: HttpAnswer | None) -> None:
@@ -193,7 +193,7 @@
             return
         # The object may have been written or be gone: it is read before the next write.
         self._known = None
-        log_trouble("contacts_not_written", status=status)
+        log_warning("contacts_not_written", status=status)
 
     def _call(self, call: HttpCall, on_answer: Callable[[HttpAnswer | None], None]) -> None:
         self._is_calling = True
--- a/src/martenrun/router/crash_watch.py
+++ b/src/martenrun/router/crash_watch.py
@@ -18,7 +18,7 @@
 
 from martenrun.net.loop import Loop, Timer
 from martenrun.net.stream import Stream, open_stream
-from martenrun.router.log import log_event, log_trouble
+from martenrun.router.log import log_event, log_warning
 from martenrun.router.messages import Runner
 from martenrun.router.runner_state import RunnerState
 
@@ -235,7 +235,7 @@
     def _end(self, case: Case) -> None:
         case.has_ended = True
         runs, case.runs = case.runs, []
-        log_trouble(
+        log_warning(
             "runner_ended_under_requests",
             instance=case.runner.instance,
             runs=len(runs),
--- a/src/martenrun/router/dataset_copy.py
+++ b/src/martenrun/router/dataset_copy.py
@@ -11,7 +11,7 @@
 
 import attrs
 
-from martenrun.router.log import log_trouble
+from martenrun.router.log import log_warning
 from martenrun.router.messages import Dataset, StoredObject
 
 RETURN_GRACE_S = 2.0
@@ -137,7 +137,7 @@
         """Drop objects that have stayed missing for the whole time of grace."""
         late = [key for key, since in self._missing_since.items() if now - since > RETURN_GRACE_S]
         for name in late:
-            log_trouble("object_lapsed", dataset=self.dataset.value, name=name)
+            log_warning("object_lapsed", dataset=self.dataset.value, name=name)
             self._drop(name)
         if late:
             self._listener.on_settled()
--- a/src/martenrun/router/denials.py
+++ b/src/martenrun/router/denials.py
@@ -7,9 +7,9 @@
 from martenrun.router.admission import Admission, Refusal, refuse
 from martenrun.router.knowledge import decoded
 from martenrun.router.knowledge_feed import KnowledgeFeed
-from martenrun.router.messages import Admitted, Call, Dataset
+from martenrun.router.messages import AdmittedRequest, Call, Dataset
+from martenrun.router.request_services import RequestServices
 from martenrun.router.store_client import HttpCaller
-from martenrun.router.world import World
 
 DENIAL_AGE_S = 2.6
 """Age from which configuration is too old to deny anything by it without a new read."""
@@ -33,11 +33,11 @@
 
     def __init__(
         self,
-        world: World,
+        world: RequestServices,
         admission: Admission,
         store: HttpCaller,
         feed: KnowledgeFeed,
-        forward: Callable[[Exchange, Admitted], None],
+        forward: Callable[[Exchange, AdmittedRequest], None],
     ) -> None:
         self._world = world
         self._admission = admission
@@ -78,7 +78,7 @@
         self._is_reading = True
         asked_at = self._world.loop.now()
         self._store.call(
-            self._world.dialect.read_object(Dataset.CONFIGURATION, "main"),
+            self._world.adapter.read_object(Dataset.CONFIGURATION, "main"),
             CONFIRM_TIMEOUT_S,
             lambda answer: self._on_read(answer, asked_at),
             longest_s=CONFIRM_TIMEOUT_S,
@@ -101,7 +101,7 @@
         """Take a read of the configuration in; return whether that is what is in force here."""
         if answer is None or answer.status != 200:
             return False
-        stored = decoded(answer.body, self._world.dialect.read_stored)
+        stored = decoded(answer.body, self._world.adapter.read_stored)
         if stored is None:
             return False
         self._feed.put_configuration(stored)
@@ -109,7 +109,7 @@
 
     def _decide(self, exchange: Exchange, call: Call) -> None:
         decision = self._admission.decide(exchange, call)
-        if isinstance(decision, Admitted):
+        if isinstance(decision, AdmittedRequest):
             self._forward(exchange, decision)
         else:
             refuse(exchange, decision, call)
--- a/src/martenrun/router/event_stream.py
+++ b/src/martenrun/router/event_stream.py
@@ -30,36 +30,36 @@
     """
 
     def __init__(self, last_event_id: int) -> None:
-        self._rest = bytearray()
+        self._buffer = bytearray()
         self.last_event_id = last_event_id
 
     @property
-    def has_rest(self) -> bool:
+    def has_partial_event(self) -> bool:
         """Whether an incomplete event is buffered."""
-        return bool(self._rest)
+        return bool(self._buffer)
 
-    def restart(self) -> None:
+    def discard_partial_event(self) -> None:
         """Discard an incomplete event; another runner resumes after the last complete one."""
-        self._rest = bytearray()
+        self._buffer = bytearray()
 
     def feed(self, data: bytes) -> list[StreamEvent]:
         """Return the events completed by these bytes; raises BrokenStreamError on invalid ones."""
-        self._rest += data
+        self._buffer += data
         events = []
         while True:
-            end = self._rest.find(b"\n\n")
+            end = self._buffer.find(b"\n\n")
             if end < 0:
                 break
-            block = bytes(self._rest[: end + 2])
-            del self._rest[: end + 2]
+            block = bytes(self._buffer[: end + 2])
+            del self._buffer[: end + 2]
             event = StreamEvent(block, _event_id(block))
-            self._check(event)
+            self._check_sequence(event)
             events.append(event)
-        if len(self._rest) > MAXIMUM_EVENT_BYTES:
+        if len(self._buffer) > MAXIMUM_EVENT_BYTES:
             raise BrokenStreamError(f"event exceeds {MAXIMUM_EVENT_BYTES} bytes")
         return events
 
-    def _check(self, event: StreamEvent) -> None:
+    def _check_sequence(self, event: StreamEvent) -> None:
         if event.event_id is None:
             return
         if event.event_id != self.last_event_id + 1:
--- a/src/martenrun/router/fingerprint.py
+++ b/src/martenrun/router/fingerprint.py
@@ -8,7 +8,7 @@
 import zlib
 
 from martenrun.net.http import HttpRequest
-from martenrun.router.messages import Admitted
+from martenrun.router.messages import AdmittedRequest
 
 OUTLINE_BYTES = 8
 """The caller's tag (4 bytes) and the outline (4 bytes) that a fingerprint begins with."""
@@ -19,7 +19,7 @@
 """Bytes of the digest: 128 bits, so that no two bodies share one by chance."""
 
 
-def outline(request: HttpRequest, admitted: Admitted) -> bytes:
+def outline(request: HttpRequest, admitted: AdmittedRequest) -> bytes:
     """Return what a fingerprint begins with, without a look at the body's bytes."""
     tenant = admitted.tenant
     caller = b"" if tenant is None else tenant.name.encode()
@@ -33,7 +33,7 @@
     return tag.to_bytes(CALLER_BYTES) + zlib.crc32(head, tag).to_bytes(OUTLINE_BYTES - CALLER_BYTES)
 
 
-def fingerprint(request: HttpRequest, admitted: Admitted) -> bytes:
+def fingerprint(request: HttpRequest, admitted: AdmittedRequest) -> bytes:
     """Return what is alike for all comings of one request, and for no other."""
     start = outline(request, admitted)
     digest = hashlib.blake2b(start, digest_size=DIGEST_BYTES)
--- a/src/martenrun/router/forwarding.py
+++ b/src/martenrun/router/forwarding.py
@@ -7,25 +7,25 @@
 from martenrun.net.server import Exchange
 from martenrun.router.attempt import STATUS_SERVER_ERROR, Attempt, AttemptLoad
 from martenrun.router.caller_stream import CallerStream
-from martenrun.router.messages import Admitted
+from martenrun.router.messages import AdmittedRequest
 from martenrun.router.quotas.gate import Grant
 from martenrun.router.request_quota import RequestQuota
+from martenrun.router.request_services import RequestServices
+from martenrun.router.request_trace import RequestTrace
 from martenrun.router.retry import MAXIMUM_SENDS, Failure, NextStep, TryState, next_step
 from martenrun.router.runner_access import RunnerAccess
 from martenrun.router.runner_choice import RunnerChoice
 from martenrun.router.runner_request import runner_dispatch
 from martenrun.router.runner_state import RunnerState
-from martenrun.router.trail import RequestTrail
-from martenrun.router.world import World
 
-STATUS_TOO_MANY = 429
+STATUS_TOO_MANY_REQUESTS = 429
 STATUS_UNAVAILABLE = 503
 
-LOOK_AGAIN_S = 0.025
+RUNNER_POLL_INTERVAL_S = 0.025
 """Delay before a waiting request tries again to choose a runner, in seconds."""
 
 
-class Forwarding:
+class RequestForwarder:
     """Forwards one admitted request: chooses runners, repeats failed attempts, responds.
 
     Args:
@@ -35,42 +35,42 @@
 
     def __init__(
         self,
-        world: World,
+        services: RequestServices,
         exchange: Exchange,
-        admitted: Admitted,
-        on_end: Callable[["Forwarding"], None],
+        admitted: AdmittedRequest,
+        on_end: Callable[["RequestForwarder"], None],
     ) -> None:
-        self._world = world
+        self._services = services
         self._exchange = exchange
         self._admitted = admitted
         self._on_end = on_end
-        self._began_at = exchange.request.received_at
-        self._sent_to: list[str] = []
-        self._runs = 0
+        self._started_at = exchange.request.received_at
+        self._attempted_instances: list[str] = []
+        self._possible_runs = 0
         self._attempt: Attempt | None = None
-        self._stream = CallerStream(world.loop, exchange, admitted.call.last_event_id)
-        self._trail = RequestTrail(world.loop, admitted)
-        self._figures = world.decisions.forwarding
-        self._choice = RunnerChoice(world, exchange.request, admitted)
-        self._quota = RequestQuota(world.quotas, admitted)
-        self._access = RunnerAccess(world)
+        self._caller_stream = CallerStream(services.loop, exchange, admitted.call.last_event_id)
+        self._trace = RequestTrace(services.loop, admitted)
+        self._parameters = services.decisions.forwarding
+        self._runner_choice = RunnerChoice(services, exchange.request, admitted)
+        self._quota = RequestQuota(services.quotas, admitted)
+        self._runner_access = RunnerAccess(services)
         self._is_over_limit = False
         self.is_over = False
-        exchange.on_gone = self._on_gone
+        exchange.on_gone = self._on_caller_disconnected
         exchange.on_drained = lambda: self._pause(False)
-        left_s = admitted.give_up_at - world.loop.now()
-        self._timer: Timer = world.loop.call_later(max(0.0, left_s), self._on_timeout)
+        left_s = admitted.give_up_at - services.loop.now()
+        self._timer: Timer = services.loop.call_later(max(0.0, left_s), self._on_timeout)
 
     @property
-    def admitted(self) -> Admitted:
+    def admitted(self) -> AdmittedRequest:
         """The admitted request."""
         return self._admitted
 
     def start(self) -> None:
         """Obtain a quota grant if one is needed, then send the request to its first runner."""
-        table = self._world.configuration.table
-        age_s = self._world.configuration.age_s(self._world.loop.now())
-        self._trail.note(
+        table = self._services.configuration.table
+        age_s = self._services.configuration.age_s(self._services.loop.now())
+        self._trace.record(
             "admitted",
             service=self._admitted.service,
             tenant=None if self._admitted.tenant is None else self._admitted.tenant.name,
@@ -80,52 +80,52 @@
         if self._quota.needs_grant:
             self._quota.obtain(self._on_grant)
         else:
-            self._take_up()
+            self._start_routing()
 
     def _on_grant(self, grant: Grant) -> None:
-        self._trail.note_grant(grant)
+        self._trace.record_grant(grant)
         if self.is_over:
             return
         if grant.is_granted:
-            self._take_up()
+            self._start_routing()
         else:
             # Requests over their tenant's limit do not count as demand in overload control.
             reason = "over_limit" if grant.is_sure else "limit_unsure"
-            status = STATUS_TOO_MANY if grant.is_sure else STATUS_UNAVAILABLE
+            status = STATUS_TOO_MANY_REQUESTS if grant.is_sure else STATUS_UNAVAILABLE
             self._refuse(reason, grant.wait_s if grant.is_sure else 0.0, status)
 
-    def _take_up(self) -> None:
-        self._choice.note_asked()
-        self._look_for_runner()
+    def _start_routing(self) -> None:
+        self._runner_choice.note_asked()
+        self._choose_runner()
 
-    def _look_for_runner(self) -> None:
+    def _choose_runner(self) -> None:
         if self.is_over:
             return
-        if self._world.loop.now() >= self._admitted.give_up_at:
+        if self._services.loop.now() >= self._admitted.give_up_at:
             # The process was suspended: this call was scheduled before the deadline.
             self._on_timeout()
             return
-        held_s = self._choice.held_back_s()
-        if held_s:
+        blocked_s = self._runner_choice.held_back_s()
+        if blocked_s:
             # All runners that ran this request crashed; refusing it prevents further crashes.
-            fingerprint = self._choice.known_fingerprint() or b""
-            self._trail.note("ends_runners", fingerprint=fingerprint.hex())
-            self._refuse("ends_runners", held_s)
+            fingerprint = self._runner_choice.known_fingerprint() or b""
+            self._trace.record("ends_runners", fingerprint=fingerprint.hex())
+            self._refuse("ends_runners", blocked_s)
             return
-        state = self._choice.choose()
+        state = self._runner_choice.choose()
         if state is None:
             self._wait_or_refuse("no_runner")
-        elif not self._sent_to and not self._choice.may_wait_at(state):
+        elif not self._attempted_instances and not self._runner_choice.may_wait_at(state):
             self._refuse_for_overload(state)
-        elif self._sent_to and not self._is_within_budget():
+        elif self._attempted_instances and not self._is_within_budget():
             self._refuse("retry_budget")
         else:
-            self._send(state, self._look_for_runner)
+            self._send(state, self._choose_runner)
 
     def _refuse_for_overload(self, state: RunnerState) -> None:
         """Refuse at once: prompts waiting here would all be sent when the backlog is prefilled."""
-        wait_s = self._choice.wait_s(state)
-        self._trail.note(
+        wait_s = self._runner_choice.wait_s(state)
+        self._trace.record(
             "held_back",
             instance=state.runner.instance,
             backlog=int(state.backlog_tokens),
@@ -137,46 +137,48 @@
 
     def _send(self, state: RunnerState, choose_again: Callable[[], None]) -> None:
         """Send the request to a runner, after obtaining a grant if the runner is rate-limited."""
-        if self._access.may_send(state):
+        if self._runner_access.may_send(state):
             self._dispatch(state)
             return
 
-        def decided(grant: Grant) -> None:
-            self._trail.note_grant(grant, "runner_grant_asked")
-            self._world.loop.call_later(0.0, choose_again)
+        def on_runner_grant(grant: Grant) -> None:
+            self._trace.record_grant(grant, "runner_grant_asked")
+            self._services.loop.call_later(0.0, choose_again)
 
-        self._access.obtain(state, decided)
+        self._runner_access.obtain(state, on_runner_grant)
 
     def _dispatch(self, state: RunnerState) -> None:
-        world = self._world
-        now = world.loop.now()
-        if self._sent_to:
-            world.budget(self._admitted.service).note_repeat(now)
+        services = self._services
+        now = services.loop.now()
+        if self._attempted_instances:
+            services.retry_budget(self._admitted.service).note_repeat(now)
         else:
-            self._choice.note_taken()
-        self._choice.tried.append(state.runner.instance)
-        self._sent_to.append(state.runner.instance)
+            self._runner_choice.note_taken()
+        self._runner_choice.tried.append(state.runner.instance)
+        self._attempted_instances.append(state.runner.instance)
         self._quota.note_sent()
         request = self._exchange.request
-        placement = world.placement
-        question = self._choice.question()
-        last_event_id = self._stream.last_event_id
-        dispatch = runner_dispatch(world, self._admitted, state, question, last_event_id)
-        headers = world.dialect.runner_headers(request.headers, dispatch)
+        placement = services.placement
+        query = self._runner_choice.question()
+        last_event_id = self._caller_stream.last_event_id
+        dispatch = runner_dispatch(services, self._admitted, state, query, last_event_id)
+        headers = services.adapter.runner_headers(request.headers, dispatch)
         data = request_bytes(request.method, request.target, headers, request.body)
         load = AttemptLoad(
-            tokens_to_read=placement.tokens_to_read(question, state),
-            tokens_held=question.needed_tokens if question.parts else 0,
+            prefill_tokens=placement.tokens_to_read(query, state),
+            kv_cache_tokens=query.needed_tokens if query.parts else 0,
         )
-        attempt = Attempt(world, self._admitted, self, state, load, self._access.has_grant(state))
-        self._access.note_sent(state)
+        attempt = Attempt(
+            services, self._admitted, self, state, load, self._runner_access.has_grant(state)
+        )
+        self._runner_access.note_sent(state)
         self._attempt = attempt
-        placement.note_read(question, state)
+        placement.note_read(query, state)
         state.note_sent(now)
-        self._trail.note_sent(state, self._admitted.call.model, len(self._sent_to))
-        expected_id = (world.dialect.request_id_field, self._admitted.call.request_id)
+        self._trace.record_sent(state, self._admitted.call.model, len(self._attempted_instances))
+        expected_id = (services.adapter.request_id_field, self._admitted.call.request_id)
         try:
-            attempt.connection = world.pool.send(
+            attempt.connection = services.pool.send(
                 state, data, attempt, expected_id, self._admitted.route.may_repeat
             )
         except OSError:
@@ -184,38 +186,40 @@
 
     # Callbacks of an attempt
 
-    def on_answer_head(self, attempt: Attempt) -> None:
+    def on_response_head(self, attempt: Attempt) -> None:
         """Record that a stream's response head has arrived."""
-        self._trail.note("answering", instance=attempt.state.runner.instance, status=attempt.status)
+        self._trace.record(
+            "answering", instance=attempt.state.runner.instance, status=attempt.status
+        )
 
     def on_stream_data(self, data: bytes) -> None:
         """Forward the complete events to the caller; raises BrokenStreamError."""
         if self._attempt is not None:
-            self._stream.pass_on(self._attempt, data)
+            self._caller_stream.forward(self._attempt, data)
         if self._exchange.is_congested:
             self._pause(True)
 
-    def on_stream_whole(self, attempt: Attempt) -> None:
+    def on_stream_complete(self, attempt: Attempt) -> None:
         """End the response if the stream ended after a complete event, else fail the attempt."""
-        if self._stream.has_rest:
+        if self._caller_stream.has_partial_event:
             self.on_failure(Failure.BROKEN, attempt)
             return
-        self._world.suspects.note_whole(self._choice.known_fingerprint())
-        self._stream.begin(attempt)
+        self._services.suspects.note_whole(self._runner_choice.known_fingerprint())
+        self._caller_stream.start_response(attempt)
         self._exchange.end()
         self._end("served", attempt)
 
-    def on_whole(self, attempt: Attempt) -> None:
+    def on_response_complete(self, attempt: Attempt) -> None:
         """Return a complete buffered response, or retry a server error of a repeatable request."""
-        self._world.suspects.note_whole(self._choice.known_fingerprint())
+        self._services.suspects.note_whole(self._runner_choice.known_fingerprint())
         if attempt.status >= STATUS_SERVER_ERROR and self._admitted.route.may_repeat:
             self.on_failure(Failure.RUN_FAILED, attempt)
         else:
-            self._pass_on(attempt)
+            self._return_response(attempt)
 
-    def _pass_on(self, attempt: Attempt) -> None:
+    def _return_response(self, attempt: Attempt) -> None:
         if self._exchange.has_started:
-            self._break_off(attempt)
+            self._abort(attempt)
             return
         self._exchange.respond(attempt.status, end_to_end(attempt.headers), bytes(attempt.body))
         self._end("served", attempt)
@@ -226,139 +230,141 @@
             return
         self._attempt = None
         may_have_run = failure in (Failure.BROKEN, Failure.RUN_FAILED)
-        self._runs += may_have_run
+        self._possible_runs += may_have_run
         self._quota.note_failed(may_have_run)
-        self._stream.restart()
-        if not attempt.was_cut_off:
-            self._go_on(failure, attempt)
+        self._caller_stream.discard_partial_event()
+        if not attempt.was_interrupted:
+            self._continue(failure, attempt)
             return
-        suspects = self._world.suspects
+        suspects = self._services.suspects
         suspects.note_broken(attempt.state, self._exchange.request, self._admitted)
         if self._admitted.route.may_repeat:
             # Wait for the crash check: it finds within milliseconds whether the runner crashed
             # while serving this request.
             instance = attempt.state.runner.instance
-            suspects.watch.when_known(instance, lambda: self._go_on(failure, attempt))
+            suspects.watch.when_known(instance, lambda: self._continue(failure, attempt))
         else:
-            self._go_on(failure, attempt)
+            self._continue(failure, attempt)
 
-    def _go_on(self, failure: Failure, attempt: Attempt) -> None:
+    def _continue(self, failure: Failure, attempt: Attempt) -> None:
         """Retry the request at another runner or end it."""
         if self.is_over:
             return
-        now = self._world.loop.now()
-        state = self._choice.choose()
-        step = next_step(failure, self._try_state(state is not None, now))
+        now = self._services.loop.now()
+        state = self._runner_choice.choose()
+        step = next_step(failure, self._attempt_state(state is not None, now))
         instance = attempt.state.runner.instance
-        self._trail.note_failed(instance, attempt.status, failure, step, self._runs)
+        self._trace.record_failed_attempt(
+            instance, attempt.status, failure, step, self._possible_runs
+        )
         if step is NextStep.SEND_AGAIN and state is not None:
             self._send_again(state, failure, attempt)
         elif step is NextStep.PASS_ON:
-            self._pass_on(attempt)
+            self._return_response(attempt)
         elif step is NextStep.REFUSE:
             self._wait_or_refuse(failure.value)
         elif step is NextStep.BREAK_OFF:
-            self._break_off(attempt)
+            self._abort(attempt)
         else:
-            self._answer(502, "unknown", attempt)
+            self._respond(502, "unknown", attempt)
 
     def _send_again(self, state: RunnerState, failure: Failure, attempt: Attempt) -> None:
         """Send the request to another runner; a repeated run also counts against the quota."""
         if not self._quota.needs_grant:
-            self._send(state, lambda: self._go_on(failure, attempt))
+            self._send(state, lambda: self._continue(failure, attempt))
             return
 
-        def go_on(grant: Grant) -> None:
-            self._trail.note_grant(grant)
+        def continue_with_grant(grant: Grant) -> None:
+            self._trace.record_grant(grant)
             self._is_over_limit = not grant.is_granted
-            self._go_on(failure, attempt)
+            self._continue(failure, attempt)
 
-        self._quota.obtain(go_on)
+        self._quota.obtain(continue_with_grant)
 
-    def _try_state(self, has_other_runner: bool, now: float) -> TryState:
+    def _attempt_state(self, has_other_runner: bool, now: float) -> TryState:
         admitted = self._admitted
         return TryState(
             may_repeat=admitted.route.may_repeat,
             maximum_attempts=admitted.route.maximum_attempts,
-            runs=self._runs,
-            sends=len(self._sent_to),
+            runs=self._possible_runs,
+            sends=len(self._attempted_instances),
             has_answer_begun=self._exchange.has_started,
             left_s=admitted.give_up_at - now,
             is_within_budget=self._is_within_budget() and not self._is_over_limit,
             has_other_runner=has_other_runner,
-            is_held_back=self._choice.held_back_s() > 0,
+            is_held_back=self._runner_choice.held_back_s() > 0,
         )
 
     def _is_within_budget(self) -> bool:
-        world = self._world
-        budget = world.budget(self._admitted.service)
-        return budget.may_repeat(world.loop.now(), world.node_count())
+        services = self._services
+        budget = services.retry_budget(self._admitted.service)
+        return budget.may_repeat(services.loop.now(), services.router_count())
 
     # Ending the request
 
     def _wait_or_refuse(self, reason: str) -> None:
         """Try again shortly, or refuse early enough for the caller to be served elsewhere."""
-        waited_s = self._world.loop.now() - self._began_at
-        limit_s = self._admitted.route.objective_s * self._figures.waiting_share
-        limited_s = self._choice.limited_for_s()
-        look_again_s = max(LOOK_AGAIN_S, limited_s or 0.0)
-        if waited_s + look_again_s > limit_s or len(self._sent_to) >= MAXIMUM_SENDS:
+        waited_s = self._services.loop.now() - self._started_at
+        limit_s = self._admitted.route.objective_s * self._parameters.waiting_share
+        limited_s = self._runner_choice.limited_for_s()
+        next_choice_s = max(RUNNER_POLL_INTERVAL_S, limited_s or 0.0)
+        if waited_s + next_choice_s > limit_s or len(self._attempted_instances) >= MAXIMUM_SENDS:
             if limited_s is None:
                 self._refuse(reason)
             else:
-                self._refuse("runner_limits", self._choice.retry_delay_s(limited_s))
+                self._refuse("runner_limits", self._runner_choice.retry_delay_s(limited_s))
             return
-        self._choice.tried.clear()
-        self._world.loop.call_later(LOOK_AGAIN_S, self._look_for_runner)
+        self._runner_choice.tried.clear()
+        self._services.loop.call_later(RUNNER_POLL_INTERVAL_S, self._choose_runner)
 
     def _refuse(
-        self, reason: str, back_in_s: float = 0.0, status: int = STATUS_UNAVAILABLE
+        self, reason: str, retry_after_s: float = 0.0, status: int = STATUS_UNAVAILABLE
     ) -> None:
         """Respond that the request has not run, with a Retry-After time."""
-        retry_after = b"%.2f" % max(self._figures.retry_after_s, back_in_s)
+        retry_after = b"%.2f" % max(self._parameters.retry_after_s, retry_after_s)
         self._exchange.respond(status, [(b"Retry-After", retry_after)])
         self._end("refused", None, reason=reason)
 
-    def _answer(self, status: int, outcome: str, attempt: Attempt | None) -> None:
+    def _respond(self, status: int, outcome: str, attempt: Attempt | None) -> None:
         self._exchange.respond(status, [])
         self._end(outcome, attempt)
 
-    def _break_off(self, attempt: Attempt | None) -> None:
+    def _abort(self, attempt: Attempt | None) -> None:
         self._exchange.abort()
         self._end("broken_off", attempt)
 
-    def _on_gone(self) -> None:
+    def _on_caller_disconnected(self) -> None:
         self._end("caller_left", self._attempt)
 
     def _on_timeout(self) -> None:
         if self._exchange.has_started:
-            self._break_off(self._attempt)
-        elif self._runs or (self._attempt is not None and self._attempt.was_sent):
-            self._answer(504, "timed_out", self._attempt)
+            self._abort(self._attempt)
+        elif self._possible_runs or (self._attempt is not None and self._attempt.was_sent):
+            self._respond(504, "timed_out", self._attempt)
         else:
             self._refuse("timed_out")
 
-    def leave_old_weights(self, now: float) -> None:
+    def move_off_old_weights(self, now: float) -> None:
         """Move the request off a runner whose weights are too old to start it."""
         attempt = self._attempt
         model = self._admitted.call.model
-        if attempt is None or model is None or attempt.has_begun:
+        if attempt is None or model is None or attempt.has_body_started:
             return
         version = attempt.state.weights_version(model)
-        if version is not None and version < self._world.overdue_weights(model, now):
+        if version is not None and version < self._services.oldest_startable_weights(model, now):
             attempt.cancel()
             self.on_failure(Failure.BROKEN, attempt)
 
-    def leave_ended_runner(self) -> None:
+    def move_off_replaced_runner(self) -> None:
         """Move the request to another runner if its runner instance has been replaced.
 
         The run on the old instance is lost even if its connection has not been closed.
         """
         attempt = self._attempt
-        if attempt is not None and self._world.runners.has_ended(attempt.state.runner):
+        if attempt is not None and self._services.runners.has_ended(attempt.state.runner):
             attempt.cancel()
             request = self._exchange.request
-            self._world.suspects.note_left(attempt.state, request, self._admitted)
+            self._services.suspects.note_left(attempt.state, request, self._admitted)
             self.on_failure(Failure.BROKEN, attempt)
 
     def shut_down(self) -> None:
@@ -371,25 +377,25 @@
         self.is_over = True
         grant = self._quota.last
         self._quota.close()
-        self._access.close()
+        self._runner_access.close()
         self._timer.cancel()
         if self._attempt is not None:
             self._attempt.cancel()
             self._attempt = None
-        now = self._world.loop.now()
+        now = self._services.loop.now()
         is_failure = outcome not in ("served", "caller_left")
-        self._world.count(outcome, self._admitted.route, now - self._began_at)
-        self._trail.end(
+        self._services.record_outcome(outcome, self._admitted.route, now - self._started_at)
+        self._trace.end(
             outcome,
             is_failure,
             reason=reason,
             instance=None if attempt is None else attempt.state.runner.instance,
             status=None if attempt is None else attempt.status,
-            tries=len(self._sent_to),
-            events=self._stream.last_event_id,
-            total_ms=round((now - self._began_at) * 1000, 1),
-            first_ms=self._stream.first_ms(self._began_at),
-            longest_gap_ms=round(self._stream.longest_gap_s * 1000, 1),
+            tries=len(self._attempted_instances),
+            events=self._caller_stream.last_event_id,
+            total_ms=round((now - self._started_at) * 1000, 1),
+            first_ms=self._caller_stream.first_event_delay_ms(self._started_at),
+            longest_gap_ms=round(self._caller_stream.longest_gap_s * 1000, 1),
             quota_owner=None if grant is None else grant.owner,
             quota_balance=None if grant is None else round(grant.balance),
         )
--- a/src/martenrun/router/figures.py
+++ b/src/martenrun/router/gauges.py
@@ -8,11 +8,11 @@
 from martenrun.router.lease import Lease
 from martenrun.router.metrics import Sample
 from martenrun.router.peers import Peers
-from martenrun.router.world import World
+from martenrun.router.request_services import RequestServices
 
 
 @attrs.frozen
-class FigureSources:
+class GaugeSources:
     """Components that the gauges are read from.
 
     Attributes:
@@ -20,36 +20,36 @@
         connections: returns the number of callers' connections.
     """
 
-    world: World
+    services: RequestServices
     peers: Peers
     keeper: Keeper
     lease: Lease
-    requests: Callable[[], int]
-    connections: Callable[[], int]
+    request_count: Callable[[], int]
+    connection_count: Callable[[], int]
 
 
-def read_samples(sources: FigureSources) -> list[Sample]:
+def read_gauges(sources: GaugeSources) -> list[Sample]:
     """Return the current values of all gauges."""
-    world = sources.world
-    now = world.loop.now()
-    states = world.pool.all_states()
-    blame = world.suspects.table
+    services = sources.services
+    now = services.loop.now()
+    states = services.pool.all_states()
+    crash_records = services.suspects.table
     return [
-        Sample("requests_in_flight", sources.requests()),
-        Sample("caller_connections", sources.connections()),
+        Sample("requests_in_flight", sources.request_count()),
+        Sample("caller_connections", sources.connection_count()),
         Sample("runners", len(states)),
         Sample("runners_avoided", sum(state.is_avoided(now) for state in states)),
-        Sample("runners_limited", len(world.runner_limits)),
+        Sample("runners_limited", len(services.runner_limits)),
         Sample("runner_requests", sum(state.load for state in states)),
         Sample("runner_backlog_tokens", sum(state.backlog_tokens for state in states)),
-        Sample("configuration_age_seconds", world.configuration.age_s(now)),
-        Sample("configuration_version", world.configuration.version),
-        Sample("configuration_behind_seconds", world.configuration.behind_s(now)),
+        Sample("configuration_age_seconds", services.configuration.age_s(now)),
+        Sample("configuration_version", services.configuration.version),
+        Sample("configuration_behind_seconds", services.configuration.behind_s(now)),
         Sample("routers_alive", 1 + len(sources.peers.live())),
         Sample("oldest_router_alive_seconds", sources.peers.table.oldest_alive_s(now)),
         Sample("store_lost", sources.keeper.has_lost_store),
         Sample("lease_held", sources.lease.is_held()),
-        Sample("requests_blamed", len(blame)),
-        Sample("requests_held_back", len(blame.held(now))),
-        Sample("quota_accounts", 0 if world.quotas is None else len(world.quotas)),
+        Sample("requests_blamed", len(crash_records)),
+        Sample("requests_held_back", len(crash_records.held(now))),
+        Sample("quota_accounts", 0 if services.quotas is None else len(services.quotas)),
     ]
--- a/src/martenrun/router/keeper.py
+++ b/src/martenrun/router/keeper.py
@@ -7,10 +7,10 @@
 
 from martenrun.net.loop import Loop
 from martenrun.router.dataset_copy import DatasetCopy
-from martenrun.router.dialect import Dialect
 from martenrun.router.log import log_event
 from martenrun.router.messages import Dataset
 from martenrun.router.peers import Peers
+from martenrun.router.platform_adapter import PlatformAdapter
 from martenrun.router.readers import Candidate, ReaderChoice, ReadingPlan
 from martenrun.router.relay import OLDEST_RELAYED_S, RelaySource
 from martenrun.router.relay_follower import RelayFollower
@@ -35,7 +35,7 @@
     Dataset.CONFIGURATION: 0.8,
     Dataset.RUNNERS: 2.0,
     Dataset.WEIGHTS: 2.5,
-    Dataset.BLAME: 10.0,
+    Dataset.CRASH_RECORDS: 10.0,
 }
 """How long one watch of each dataset waits.
 
@@ -65,7 +65,7 @@
 
     loop: Loop
     store: HttpCaller
-    dialect: Dialect
+    dialect: PlatformAdapter
     copies: Mapping[Dataset, DatasetCopy]
     peers: Peers
     seeds: Sequence[str] = ()
--- a/src/martenrun/router/knowledge.py
+++ b/src/martenrun/router/knowledge.py
@@ -7,13 +7,13 @@
 from collections.abc import Callable
 from typing import TypeVar
 
-from martenrun.router.log import log_event, log_trouble
+from martenrun.router.log import log_event, log_warning
 from martenrun.router.messages import (
     Configuration,
     Runner,
     StoredObject,
+    TargetWeights,
     UnreadableError,
-    WantedWeights,
 )
 from martenrun.router.route_table import RouteTable
 
@@ -147,11 +147,11 @@
     """The versions of weights that the operator has named, and since when they are known."""
 
     def __init__(self) -> None:
-        self.wanted: dict[str, WantedWeights] = {}
+        self.wanted: dict[str, TargetWeights] = {}
         self._known_since: dict[str, list[tuple[float, int]]] = {}
         self.on_changed: Callable[[], None] = _nothing
 
-    def take(self, wanted: WantedWeights, now: float) -> None:
+    def take(self, wanted: TargetWeights, now: float) -> None:
         """Take in a named version unless a newer one is known."""
         known = self.wanted.get(wanted.model)
         if known is not None and known.version >= wanted.version:
@@ -203,7 +203,7 @@
         return read(stored)
     except UnreadableError as exc:
         name = stored.name if isinstance(stored, StoredObject) else None
-        log_trouble("object_unreadable", name=name, fault=str(exc)[:100])
+        log_warning("object_unreadable", name=name, fault=str(exc)[:100])
         return None
 
 
--- a/src/martenrun/router/knowledge_feed.py
+++ b/src/martenrun/router/knowledge_feed.py
@@ -6,7 +6,7 @@
 from martenrun.router.knowledge import decoded
 from martenrun.router.messages import Dataset, StoredObject
 from martenrun.router.metrics import Metrics
-from martenrun.router.world import World
+from martenrun.router.request_services import RequestServices
 
 
 class KnowledgeFeed:
@@ -19,7 +19,7 @@
     """
 
     def __init__(
-        self, world: World, metrics: Metrics, on_runners_settled: Callable[[], None]
+        self, world: RequestServices, metrics: Metrics, on_runners_settled: Callable[[], None]
     ) -> None:
         self._world = world
         self._metrics = metrics
@@ -30,7 +30,7 @@
                 self._put_runner, world.runners.remove, on_runners_settled
             ),
             Dataset.WEIGHTS: CopyListener(self._put_weights, _ignored, _nothing),
-            Dataset.BLAME: CopyListener(self._put_blame, _ignored, _nothing),
+            Dataset.CRASH_RECORDS: CopyListener(self._put_blame, _ignored, _nothing),
         }
         self.copies: Mapping[Dataset, DatasetCopy] = {
             dataset: DatasetCopy(dataset, listener) for dataset, listener in listeners.items()
@@ -47,7 +47,7 @@
         if stored.revision < self._newest_revision:
             return
         self._newest_revision = stored.revision
-        configuration = decoded(stored, self._world.dialect.read_configuration)
+        configuration = decoded(stored, self._world.adapter.read_configuration)
         if configuration is None:
             self._count_unreadable(Dataset.CONFIGURATION)
             self._world.configuration.note_unreadable()
@@ -56,7 +56,7 @@
 
     def _put_runner(self, stored: StoredObject) -> None:
         """Take an entry in; one that cannot be read names no runner, whatever it named before."""
-        runner = decoded(stored, self._world.dialect.read_runner)
+        runner = decoded(stored, self._world.adapter.read_runner)
         if runner is None:
             self._count_unreadable(Dataset.RUNNERS)
             self._world.runners.remove(stored.name)
@@ -64,16 +64,16 @@
             self._world.runners.put(runner)
 
     def _put_weights(self, stored: StoredObject) -> None:
-        wanted = decoded(stored, self._world.dialect.read_weights)
+        wanted = decoded(stored, self._world.adapter.read_weights)
         if wanted is None:
             self._count_unreadable(Dataset.WEIGHTS)
         else:
             self._world.weights.take(wanted, self._world.loop.now())
 
     def _put_blame(self, stored: StoredObject) -> None:
-        records = decoded(stored, self._world.dialect.read_blame)
+        records = decoded(stored, self._world.adapter.read_crash_records)
         if records is None:
-            self._count_unreadable(Dataset.BLAME)
+            self._count_unreadable(Dataset.CRASH_RECORDS)
         else:
             self._world.suspects.take_stored(records)
 
--- a/src/martenrun/router/lease.py
+++ b/src/martenrun/router/lease.py
@@ -12,9 +12,8 @@
 
 from martenrun.net.http import HttpAnswer
 from martenrun.net.loop import Loop
-from martenrun.router.dialect import Dialect
 from martenrun.router.knowledge import decoded
-from martenrun.router.log import log_event, log_trouble
+from martenrun.router.log import log_event, log_warning
 from martenrun.router.messages import (
     Dataset,
     HttpCall,
@@ -23,6 +22,7 @@
     VersionAges,
 )
 from martenrun.router.order_turns import OrderTurns
+from martenrun.router.platform_adapter import PlatformAdapter
 from martenrun.router.store_client import HttpCaller
 
 CALL_TIMEOUT_S = 0.7
@@ -108,7 +108,7 @@
         self,
         loop: Loop,
         store: HttpCaller,
-        dialect: Dialect,
+        dialect: PlatformAdapter,
         name: str,
         holder: str,
         lease_s: float,
@@ -285,7 +285,7 @@
             self._end_reservations(True)
             return
         status = None if answer is None else answer.status
-        log_trouble("lease_write_failed", status=status, token=record.fencing_token)
+        log_warning("lease_write_failed", status=status, token=record.fencing_token)
         self._not_before = self._loop.now() + PAUSE_S
         self._end_reservations(False)
         # What the object holds now is not known: read it again, and never use that token again.
--- a/src/martenrun/router/log.py
+++ b/src/martenrun/router/log.py
@@ -41,7 +41,7 @@
         self._node = ""
         self._second = 0
         self._lines: collections.Counter[str] = collections.Counter()
-        self._left_out: collections.Counter[str] = collections.Counter()
+        self._suppressed: collections.Counter[str] = collections.Counter()
         self._dropped = 0
         self._buffer = bytearray()
 
@@ -57,12 +57,12 @@
         """Write one line, unless the budget of its kind is used up."""
         second = int(clock.now())
         if second != self._second:
-            self._begin_second(second)
+            self._start_second(second)
         kind = "failure" if is_failure else event
         limit = FAILURE_LINES_PER_S if is_failure else LINES_PER_KIND_PER_S
         self._lines[kind] += 1
         if self._lines[kind] > limit:
-            self._left_out[event] += 1
+            self._suppressed[event] += 1
             return
         self._append(event, fields)
         self.flush()
@@ -80,12 +80,12 @@
             return
         del self._buffer[:written]
 
-    def _begin_second(self, second: int) -> None:
+    def _start_second(self, second: int) -> None:
         self._second = second
         self._lines.clear()
-        for event, count in self._left_out.items():
+        for event, count in self._suppressed.items():
             self._append("lines_left_out", {"kind": event, "count": count})
-        self._left_out.clear()
+        self._suppressed.clear()
         if self._dropped and len(self._buffer) < BUFFERED_BYTES // 2:
             self._append("lines_dropped", {"count": self._dropped})
             self._dropped = 0
@@ -113,13 +113,13 @@
     EVENT_LOG.write(event, False, fields)
 
 
-def log_trouble(event: str, **fields: Value) -> None:
+def log_warning(event: str, **fields: Value) -> None:
     """Log a failing request, a lost dependency or another event that must not be displaced."""
     EVENT_LOG.write(event, True, fields)
 
 
-def log_failure(event: str, exc: BaseException) -> None:
+def log_exception(event: str, exc: BaseException) -> None:
     """Log an unexpected exception with the innermost frames of its traceback."""
     place = traceback.extract_tb(exc.__traceback__)[-4:]
     where = " < ".join(f"{frame.name}:{frame.lineno}" for frame in reversed(place))
-    log_trouble(event, fault=type(exc).__name__, text=str(exc)[:200], where=where)
+    log_warning(event, fault=type(exc).__name__, text=str(exc)[:200], where=where)
--- a/src/martenrun/router/messages.py
+++ b/src/martenrun/router/messages.py
@@ -64,7 +64,7 @@
     """Capacity of one model engine of a service."""
 
     slots: int
-    cache_tokens: int
+    kv_cache_tokens: int
     models: tuple[str, ...]
 
 
@@ -78,7 +78,7 @@
 
 
 @attrs.frozen
-class KeptCacheStore:
+class KvCacheStore:
     """A store that engines save KV cache blocks to and fetch them from."""
 
     address: str
@@ -102,7 +102,7 @@
     version: int
     routes: tuple[Route, ...]
     services: Mapping[str, Service]
-    stores: tuple[KeptCacheStore, ...]
+    stores: tuple[KvCacheStore, ...]
     limits: ServerLimits
     tenants_by_key: Mapping[bytes, Tenant]
     has_tenants: bool
@@ -126,11 +126,11 @@
     is_draining: bool
     weights: Mapping[str, int]
     name: str = attrs.field(default=attrs.Factory(lambda self: self.instance, takes_self=True))
-    born_ms: int | None = None
+    started_at_ms: int | None = None
 
 
 @attrs.frozen
-class WantedWeights:
+class TargetWeights:
     """The version of a model's weights that the operator wants served."""
 
     model: str
@@ -166,7 +166,7 @@
 
 
 @attrs.frozen
-class Admitted:
+class AdmittedRequest:
     """A request that passed admission.
 
     Attributes:
@@ -214,7 +214,7 @@
 
 
 @attrs.frozen
-class AnswerMarks:
+class ResponseMetadata:
     """Metadata of a runner's response, parsed from its status and headers.
 
     Attributes:
@@ -237,8 +237,8 @@
     RUNNERS = "runners"
     WEIGHTS = "weights"
     LEASES = "leases"
-    BLAME = "blame"
-    CONTACTS = "contacts"
+    CRASH_RECORDS = "blame"
+    PEER_ADDRESSES = "contacts"
 
 
 @attrs.frozen
@@ -255,7 +255,7 @@
     """A change or deletion of one object."""
 
     stored: StoredObject
-    is_gone: bool
+    is_deleted: bool
 
 
 @attrs.frozen
@@ -364,4 +364,4 @@
     is_loading: bool
     orders_taken: int
     active: int = 0
-    born_ms: int | None = None
+    started_at_ms: int | None = None
--- a/src/martenrun/router/news.py
+++ b/src/martenrun/router/news.py
@@ -6,13 +6,13 @@
 from martenrun.router.limit_messages import LimitNews
 from martenrun.router.peer_messages import LeaseNews, SilenceNews
 from martenrun.router.peers import News
+from martenrun.router.request_services import RequestServices
 from martenrun.router.silence import take_silence
 from martenrun.router.weights_news import take_weights_news
 from martenrun.router.weights_roll import WeightsRoller
-from martenrun.router.world import World
 
 
-def take_news(world: World, roller: WeightsRoller, news: News) -> None:
+def take_news(world: RequestServices, roller: WeightsRoller, news: News) -> None:
     """Dispatch news from another router to the component that handles it."""
     now = world.loop.now()
     if isinstance(news, LeaseNews):
@@ -27,7 +27,7 @@
         take_weights_news(world, news)
 
 
-def newcomer_news(world: World, routers: int) -> Sequence[News]:
+def newcomer_news(world: RequestServices, routers: int) -> Sequence[News]:
     """Return the news for a newly discovered router.
 
     Args:
--- a/src/martenrun/router/peers.py
+++ b/src/martenrun/router/peers.py
@@ -16,7 +16,7 @@
 from martenrun.net.loop import READ, Loop
 from martenrun.router.blame_messages import BlameNews
 from martenrun.router.limit_messages import LimitNews
-from martenrun.router.log import log_trouble
+from martenrun.router.log import log_warning
 from martenrun.router.peer_messages import (
     Gossip,
     LeaseNews,
@@ -284,7 +284,7 @@
             try:
                 message = decode(data)
             except msgspec.MsgspecError:
-                log_trouble("datagram_unreadable", length=len(data))
+                log_warning("datagram_unreadable", length=len(data))
                 continue
             self._take(message, arrived_at)
         self._unread_late_s = late_s
--- a/src/martenrun/router/planned_stop.py
+++ b/src/martenrun/router/planned_stop.py
@@ -2,7 +2,7 @@
 
 import attrs
 
-from martenrun.router.messages import Admitted
+from martenrun.router.messages import AdmittedRequest
 
 LINGER_S = 3.6
 """How long new requests are accepted after a stop was requested, in seconds.
@@ -10,7 +10,7 @@
 Callers and other routers need this time to learn of the stop.
 """
 
-CARRIED_ANYWAY_S = 2.8
+ACCEPT_ALL_S = 2.8
 """Requests received within this many seconds of the stop are accepted whatever their timeout.
 
 Later, callers that know of the stop use other routers.
@@ -24,21 +24,21 @@
 class PlannedStop:
     """A stop requested at a monotonic time, to be completed within the grace period."""
 
-    ordered_at: float
+    requested_at: float
     grace_s: float
 
     @property
-    def lingers_until(self) -> float:
+    def closes_idle_at(self) -> float:
         """When idle connections are closed."""
-        return self.ordered_at + LINGER_S
+        return self.requested_at + LINGER_S
 
     @property
-    def ends_at(self) -> float:
+    def aborts_at(self) -> float:
         """When requests in progress are aborted."""
-        return self.ordered_at + self.grace_s - END_MARGIN_S
+        return self.requested_at + self.grace_s - END_MARGIN_S
 
-    def may_take(self, admitted: Admitted, received_at: float) -> bool:
+    def may_accept(self, admitted: AdmittedRequest, received_at: float) -> bool:
         """Return whether to accept a request: a late one must time out before the abort."""
-        if received_at - self.ordered_at <= CARRIED_ANYWAY_S:
+        if received_at - self.requested_at <= ACCEPT_ALL_S:
             return True
-        return admitted.give_up_at <= self.ends_at
+        return admitted.give_up_at <= self.aborts_at
--- a/src/martenrun/router/dialect.py
+++ b/src/martenrun/router/platform_adapter.py
@@ -11,7 +11,6 @@
 from martenrun.net.http import Headers, HttpRequest
 from martenrun.router.blame_messages import BlameRecord
 from martenrun.router.messages import (
-    AnswerMarks,
     Call,
     Configuration,
     Dataset,
@@ -19,12 +18,13 @@
     HttpCall,
     LeaseRecord,
     OrderOutcome,
+    ResponseMetadata,
     Runner,
     RunnerReport,
     StoreChanges,
     StoredObject,
     StorePage,
-    WantedWeights,
+    TargetWeights,
     WeightsOrder,
 )
 from martenrun.router.settings import RouterSettings
@@ -44,7 +44,7 @@
 
 
 @attrs.frozen
-class Dialect:
+class PlatformAdapter:
     """The platform's formats and protocols, as functions.
 
     Functions that decode raise ValueError for invalid input, and its subclass UnreadableError for
@@ -78,8 +78,8 @@
     read_call: Callable[[HttpRequest], Call]
     runner_headers: Callable[[Headers, Dispatch], Headers]
     request_id_field: bytes
-    read_marks: Callable[[int, Headers], AnswerMarks]
-    answering_instance: Callable[[Headers], str | None]
+    read_response_metadata: Callable[[int, Headers], ResponseMetadata]
+    responding_instance: Callable[[Headers], str | None]
     list_objects: Callable[[Dataset, str | None], HttpCall]
     watch_objects: Callable[[Dataset, int, float], HttpCall]
     read_object: Callable[[Dataset, str], HttpCall]
@@ -90,17 +90,17 @@
     read_stored: Callable[[bytes], StoredObject]
     read_configuration: Callable[[StoredObject], Configuration]
     read_runner: Callable[[StoredObject], Runner]
-    read_weights: Callable[[StoredObject], WantedWeights]
+    read_weights: Callable[[StoredObject], TargetWeights]
     read_lease: Callable[[StoredObject], LeaseRecord]
-    read_blame: Callable[[StoredObject], list[BlameRecord]]
-    blame_spec: Callable[[list[BlameRecord]], object]
-    read_contacts: Callable[[StoredObject], list[str]]
-    contacts_spec: Callable[[Sequence[str]], object]
+    read_crash_records: Callable[[StoredObject], list[BlameRecord]]
+    crash_records_spec: Callable[[list[BlameRecord]], object]
+    read_peer_addresses: Callable[[StoredObject], list[str]]
+    peer_addresses_spec: Callable[[Sequence[str]], object]
     lease_spec: Callable[[LeaseRecord], object]
     order_weights: Callable[[WeightsOrder], HttpCall]
     read_order_outcome: Callable[[int], OrderOutcome]
-    ask_report: Callable[[], HttpCall]
+    report_request: Callable[[], HttpCall]
     read_report: Callable[[bytes], RunnerReport]
     directory_zone: Callable[[HttpRequest], str | None]
-    directory_answer: Callable[[Sequence[str], float], bytes]
-    is_ready_question: Callable[[HttpRequest], bool]
+    directory_response: Callable[[Sequence[str], float], bytes]
+    is_readiness_request: Callable[[HttpRequest], bool]
--- a/src/martenrun/router/process.py
+++ b/src/martenrun/router/process.py
@@ -12,10 +12,8 @@
 from martenrun.router.crash_watch import RunnerKnowledge
 from martenrun.router.decisions import DEFAULTS, Decisions, load_decisions
 from martenrun.router.denials import Denials
-from martenrun.router.dialect import Dialect, SettingsSource
-from martenrun.router.entry import Entry
-from martenrun.router.figures import FigureSources, read_samples
-from martenrun.router.forwarding import Forwarding
+from martenrun.router.forwarding import RequestForwarder
+from martenrun.router.gauges import GaugeSources, read_gauges
 from martenrun.router.internal_interface import InternalInterface
 from martenrun.router.keeper import Keeper, KeeperParts
 from martenrun.router.knowledge import (
@@ -26,16 +24,19 @@
 from martenrun.router.knowledge_feed import KnowledgeFeed
 from martenrun.router.lease import Lease
 from martenrun.router.loads import LoadExchange
-from martenrun.router.log import EVENT_LOG, log_event, log_trouble
-from martenrun.router.messages import Admitted, Configuration, Dataset, LeaseRecord, Route
+from martenrun.router.log import EVENT_LOG, log_event, log_warning
+from martenrun.router.messages import AdmittedRequest, Configuration, Dataset, LeaseRecord, Route
 from martenrun.router.metrics import Metrics
 from martenrun.router.news import newcomer_news, take_news
 from martenrun.router.peer_messages import RouterRecord, SilenceNews
 from martenrun.router.peers import Peers, first_incarnation
 from martenrun.router.placement import Placement
 from martenrun.router.planned_stop import PlannedStop
+from martenrun.router.platform_adapter import PlatformAdapter, SettingsSource
 from martenrun.router.quotas.gate import QuotaGate
 from martenrun.router.quotas.owners import AccountOwners
+from martenrun.router.request_services import RequestServices
+from martenrun.router.router_discovery import RouterDiscovery
 from martenrun.router.runner_limits import RunnerLimits
 from martenrun.router.runner_pool import RunnerPool
 from martenrun.router.settings import RouterSettings
@@ -43,15 +44,14 @@
 from martenrun.router.store_client import HttpCaller
 from martenrun.router.suspects import Suspects
 from martenrun.router.weights_roll import WeightsRoller
-from martenrun.router.world import World
 
-CALLERS_SHARE = 0.6
+CALLER_CONNECTIONS_SHARE = 0.6
 """Share of the process's file descriptors available to callers' connections."""
 
-HOUSEKEEPING_S = 0.25
+MAINTENANCE_INTERVAL_S = 0.25
 """Interval of the periodic maintenance, in seconds."""
 
-CURRENT_SHARE = 0.6
+CURRENT_CONFIGURATION_SHARE = 0.6
 """The configuration counts as current up to this share of the bound on revoked keys."""
 
 
@@ -59,44 +59,44 @@
     """All components of one router."""
 
     def __init__(
-        self, source: SettingsSource, dialect: Dialect, decisions: Decisions = DEFAULTS
+        self, source: SettingsSource, adapter: PlatformAdapter, decisions: Decisions = DEFAULTS
     ) -> None:
-        self._source = source
-        self._stamp = source.stamp()
+        self._settings_source = source
+        self._settings_stamp = source.stamp()
         settings = source.load()
         EVENT_LOG.open(settings.name)
         self._loop = Loop()
         self._loop.pacer.set_link(settings.link_bytes_per_s)
         self._store = HttpCaller(self._loop, settings.store_address)
-        self._metrics = Metrics(lambda: read_samples(self._figures))
-        self._forwardings: set[Forwarding] = set()
+        self._metrics = Metrics(lambda: read_gauges(self._gauge_sources))
+        self._forwarders: set[RequestForwarder] = set()
         self._stop: PlannedStop | None = None
-        self._world = World(
+        self._services = RequestServices(
             loop=self._loop,
             settings=settings,
-            dialect=dialect,
+            adapter=adapter,
             configuration=ConfigurationKnowledge(),
             runners=RunnerDirectory(),
             weights=WeightsKnowledge(),
             pool=RunnerPool(self._loop),
             placement=Placement(decisions.placement),
             suspects=Suspects(
-                self._loop, self._runner_knowledge(), lambda news: self._peers.tell_all(news)
+                self._loop, self._crash_watch_queries(), lambda update: self._peers.tell_all(update)
             ),
             decisions=decisions,
-            spends_from=self._spends_from(settings),
-            node_count=lambda: self._peers.budget_count(),
-            count=self._count,
-            store_works=lambda _store: True,
-            note_reading=lambda state: self._loads.note_reading(state),
+            retry_slack_from=self._retry_slack_from(settings),
+            router_count=lambda: self._peers.budget_count(),
+            record_outcome=self._record_outcome,
+            is_store_available=lambda _store: True,
+            on_prefill_changed=lambda state: self._loads.note_reading(state),
             refresh_loads=lambda: self._loads.refresh(),
             runner_limits=RunnerLimits(
-                lambda news: self._peers.tell_all(news),
+                lambda update: self._peers.tell_all(update),
                 self._on_limit_changed,
                 lambda outcome: self._metrics.count("runner_limits", outcome=outcome),
             ),
         )
-        self._admission = Admission(self._world)
+        self._admission = Admission(self._services)
         own = RouterRecord(
             address=settings.internal_address,
             incarnation=first_incarnation(),
@@ -117,81 +117,81 @@
             own,
             settings.seeds,
             self._refresh,
-            lambda news: take_news(self._world, self._roller, news),
-            self._on_records,
+            lambda update: take_news(self._services, self._rollout, update),
+            self._on_peer_records,
             lambda instance: self._loads.take_reading(instance),
             lambda sums: self._loads.take_sums(sums),
-            lambda routers: newcomer_news(self._world, routers),
+            lambda routers: newcomer_news(self._services, routers),
             lambda message: self._quotas.take(message),
         )
-        self._quotas = self._world.quotas = self._quota_gate(settings)
-        self._loads = LoadExchange(self._world.pool, self._peers)
+        self._quotas = self._services.quotas = self._create_quota_gate(settings)
+        self._loads = LoadExchange(self._services.pool, self._peers)
         holder = f"{own.address}#{own.incarnation}"
         self._lease = Lease(
             self._loop,
             self._store,
-            dialect,
+            adapter,
             "weights",
             holder,
             settings.bounds.lease_s,
-            lambda: self._world.weights.ages_ms(self._loop.now()),
-            lambda ages_ms: self._world.weights.learn_ages(ages_ms, self._loop.now()),
+            lambda: self._services.weights.ages_ms(self._loop.now()),
+            lambda ages_ms: self._services.weights.learn_ages(ages_ms, self._loop.now()),
         )
-        self._roller = WeightsRoller(self._world, self._peers, self._lease)
-        self._feed = KnowledgeFeed(self._world, self._metrics, self._on_runners_settled)
+        self._rollout = WeightsRoller(self._services, self._peers, self._lease)
+        self._feed = KnowledgeFeed(self._services, self._metrics, self._on_runners_updated)
         self._keeper = Keeper(
             KeeperParts(
-                self._loop, self._store, dialect, self._feed.copies, self._peers, settings.seeds
+                self._loop, self._store, adapter, self._feed.copies, self._peers, settings.seeds
             ),
             self._feed.confirm,
         )
         self._blame_store = BlameStore(
             self._loop,
             self._store,
-            dialect,
-            self._feed.copies[Dataset.BLAME],
-            self._world.suspects,
+            adapter,
+            self._feed.copies[Dataset.CRASH_RECORDS],
+            self._services.suspects,
             lambda: self._keeper.reads_store,
         )
-        self._contacts = ContactDirectory(
-            self._loop, self._store, dialect, self._peers, lambda: self._keeper.reads_store
+        self._peer_addresses = ContactDirectory(
+            self._loop, self._store, adapter, self._peers, lambda: self._keeper.reads_store
         )
         self._denials = Denials(
-            self._world, self._admission, self._store, self._feed, self._forward
+            self._services, self._admission, self._store, self._feed, self._forward
         )
         internal = InternalInterface(
-            self._metrics, self._world.suspects, self._quotas, self._keeper.relay
+            self._metrics, self._services.suspects, self._quotas, self._keeper.relay
         )
-        entry = Entry(dialect, self._peers, self._refresh, self._is_ready)
+        discovery = RouterDiscovery(adapter, self._peers, self._refresh, self._is_ready)
         self._front = Server(
             self._loop,
             settings.front_address,
             self._serve,
-            int(settings.maximum_descriptors * CALLERS_SHARE),
+            int(settings.maximum_descriptors * CALLER_CONNECTIONS_SHARE),
         )
-        self._others = [
-            Server(self._loop, settings.ready_address, entry.serve_ready),
-            Server(self._loop, settings.directory_address, entry.serve_directory),
+        self._other_servers = [
+            Server(self._loop, settings.ready_address, discovery.serve_ready),
+            Server(self._loop, settings.directory_address, discovery.serve_directory),
             Server(self._loop, settings.internal_address, internal.serve),
         ]
-        self._figures = FigureSources(
-            self._world,
+        self._gauge_sources = GaugeSources(
+            self._services,
             self._peers,
             self._keeper,
             self._lease,
-            requests=lambda: len(self._forwardings),
-            connections=lambda: self._front.connections,
+            request_count=lambda: len(self._forwarders),
+            connection_count=lambda: self._front.connections,
         )
-        self._world.configuration.on_changed.append(self._on_configuration)
-        self._world.weights.on_changed = self._roller.check
+        self._services.configuration.on_changed.append(self._on_configuration)
+        self._services.weights.on_changed = self._rollout.check
 
-    def _quota_gate(self, settings: RouterSettings) -> QuotaGate:
+    def _create_quota_gate(self, settings: RouterSettings) -> QuotaGate:
         """Return the gate that queries the owners of quota accounts and serves its own ones."""
         peers = self._peers
         owners = AccountOwners(
             self._loop.now,
             peers,
-            lambda: self._quotas.is_starting() or not self._contacts.is_resolved,
+            lambda: self._quotas.is_starting() or not self._peer_addresses.is_resolved,
             settings.seeds,
         )
         return QuotaGate(
@@ -199,25 +199,25 @@
             peers,
             settings.internal_address,
             owners,
-            lambda: self._world.configuration.version,
-            lambda: self._world.settings,
-            lambda word: self._metrics.count("quota_questions", outcome=word),
+            lambda: self._services.configuration.version,
+            lambda: self._services.settings,
+            lambda outcome: self._metrics.count("quota_questions", outcome=outcome),
         )
 
-    def _spends_from(self, settings: RouterSettings) -> float:
+    def _retry_slack_from(self, settings: RouterSettings) -> float:
         """Return when retries of this router's previous process leave the budget window."""
         return self._loop.now() + (
             0.0 if settings.is_first_start else settings.bounds.budget_window_s
         )
 
-    def _runner_knowledge(self) -> RunnerKnowledge:
+    def _crash_watch_queries(self) -> RunnerKnowledge:
         """Return the queries that the crash watch makes to components constructed after it."""
         return RunnerKnowledge(
-            is_listed=lambda state: self._world.pool.state(state.runner.instance) is state,
-            has_ended=lambda runner: self._world.runners.has_ended(runner),
-            others_at=lambda address: self._world.runners.listed_at(address),
-            has_connection=lambda instance: self._world.pool.has_kept(instance),
-            count=lambda: len(self._world.runners.runners),
+            is_listed=lambda state: self._services.pool.state(state.runner.instance) is state,
+            has_ended=lambda runner: self._services.runners.has_ended(runner),
+            others_at=lambda address: self._services.runners.listed_at(address),
+            has_connection=lambda instance: self._services.pool.has_idle_connection(instance),
+            count=lambda: len(self._services.runners.runners),
         )
 
     def run(self) -> None:
@@ -225,12 +225,12 @@
         self._loop.on_signal(signal.SIGTERM, self._begin_stop)
         self._loop.on_signal(signal.SIGINT, self._begin_stop)
         self._loop.on_signal(signal.SIGHUP, self._reload)
-        log_event("started", zone=self._world.settings.zone)
+        log_event("started", zone=self._services.settings.zone)
         self._keeper.start()
         self._peers.start()
-        self._contacts.start()
-        self._keep_house()
-        self._tell_sums()
+        self._peer_addresses.start()
+        self._run_maintenance()
+        self._broadcast_load_sums()
         self._loop.run()
         log_event("stopped")
         EVENT_LOG.flush()
@@ -239,16 +239,18 @@
 
     def _on_configuration(self, configuration: Configuration) -> None:
         self._front.limits = configuration.limits
-        self._world.configuration.hear([(configuration.version, 0)], self._loop.now())
+        self._services.configuration.hear([(configuration.version, 0)], self._loop.now())
         if self._keeper.reads_store:
             # Routers that are behind must learn this even if they cannot fetch the configuration.
             self._peers.tell_soon()
 
-    def _on_runners_settled(self) -> None:
-        self._world.pool.update(self._world.runners.runners)
-        self._world.runner_limits.forget_unlisted(self._world.runners.runners, self._loop.now())
-        self._world.suspects.watch.look_again()
-        self._roller.check()
+    def _on_runners_updated(self) -> None:
+        self._services.pool.update(self._services.runners.runners)
+        self._services.runner_limits.forget_unlisted(
+            self._services.runners.runners, self._loop.now()
+        )
+        self._services.suspects.watch.look_again()
+        self._rollout.check()
 
     # Other routers
 
@@ -259,31 +261,31 @@
         own.reads_store = self._keeper.reads_store
         own.lease_revision = self._lease.revision
         own.lease_token = self._lease.fencing_token if own.lease_revision else 0
-        own.weights = self._world.weights.ages_ms(self._loop.now())
-        own.configurations = self._world.configuration.told(self._loop.now())
+        own.weights = self._services.weights.ages_ms(self._loop.now())
+        own.configurations = self._services.configuration.told(self._loop.now())
         own.loads = self._loads.own_loads()
         own.quota_stage = self._quotas.stage().value
 
     def _on_limit_changed(self, instance: str) -> None:
         """Make a runner whose rate limit has changed eligible for grants again."""
-        state = self._world.pool.state(instance)
+        state = self._services.pool.state(instance)
         if state is not None:
             state.limited_until = 0.0
 
-    def _on_records(self) -> None:
+    def _on_peer_records(self) -> None:
         self._loads.take_records()
-        for record, told_at in self._peers.table.told():
-            self._world.configuration.hear(record.configurations, told_at)
+        for record, received_at in self._peers.table.told():
+            self._services.configuration.hear(record.configurations, received_at)
         for record in self._peers.live():
-            self._world.weights.learn_ages(record.weights, self._loop.now())
+            self._services.weights.learn_ages(record.weights, self._loop.now())
             if record.lease_revision:
                 holder = f"{record.address}#{record.incarnation}"
                 self._lease.note_revision(
                     LeaseRecord(holder, record.lease_token), record.lease_revision
                 )
 
-    def _tell_sums(self) -> None:
-        self._loop.call_later(self._loads.tell_sums(), self._tell_sums)
+    def _broadcast_load_sums(self) -> None:
+        self._loop.call_later(self._loads.tell_sums(), self._broadcast_load_sums)
 
     # Requests
 
@@ -293,35 +295,35 @@
             refuse(exchange, call, None)
             return
         decision = self._admission.decide(exchange, call)
-        if isinstance(decision, Admitted):
+        if isinstance(decision, AdmittedRequest):
             self._forward(exchange, decision)
         elif decision.status in (401, 404):
             self._denials.look_again(exchange, call)
         else:
             refuse(exchange, decision, call)
 
-    def _forward(self, exchange: Exchange, admitted: Admitted) -> None:
+    def _forward(self, exchange: Exchange, admitted: AdmittedRequest) -> None:
         received_at = exchange.request.received_at
-        if self._stop is not None and not self._stop.may_take(admitted, received_at):
+        if self._stop is not None and not self._stop.may_accept(admitted, received_at):
             refuse(exchange, Refusal(503, "stopping"), admitted.call)
             return
-        self._world.budget(admitted.service).note_request(self._loop.now())
-        forwarding = Forwarding(self._world, exchange, admitted, self._forwardings.discard)
-        self._forwardings.add(forwarding)
-        forwarding.start()
+        self._services.retry_budget(admitted.service).note_request(self._loop.now())
+        forwarder = RequestForwarder(self._services, exchange, admitted, self._forwarders.discard)
+        self._forwarders.add(forwarder)
+        forwarder.start()
 
-    def _count(self, outcome: str, route: Route, seconds: float) -> None:
+    def _record_outcome(self, outcome: str, route: Route, seconds: float) -> None:
         self._metrics.count("requests", outcome=outcome, kind=route.kind.value)
         self._metrics.time("request", seconds, kind=route.kind.value)
 
     # Readiness
 
     def _is_current(self) -> bool:
-        age_s = self._world.configuration.age_s(self._loop.now())
-        return age_s < self._world.settings.bounds.revoke_s * CURRENT_SHARE
+        age_s = self._services.configuration.age_s(self._loop.now())
+        return age_s < self._services.settings.bounds.revoke_s * CURRENT_CONFIGURATION_SHARE
 
     def _is_ready(self) -> bool:
-        if self._world.configuration.table is None or self._stop is not None:
+        if self._services.configuration.table is None or self._stop is not None:
             return False
         return self._feed.copies[Dataset.RUNNERS].is_known
 
@@ -329,65 +331,65 @@
 
     def _reload(self) -> None:
         """Apply changed settings; invalid ones are logged and the last valid ones stay in use."""
-        self._stamp = self._source.stamp()
+        self._settings_stamp = self._settings_source.stamp()
         try:
-            settings = self._source.load()
+            settings = self._settings_source.load()
         except SettingsError as exc:
-            log_trouble("settings_faulty", fault=exc.message[:200], remedy=exc.remedy)
+            log_warning("settings_faulty", fault=exc.message[:200], remedy=exc.remedy)
             return
-        self._world.replace_settings(settings)
+        self._services.replace_settings(settings)
         self._loop.pacer.set_link(settings.link_bytes_per_s)
         log_event("settings_read")
 
     def _begin_stop(self) -> None:
         if self._stop is not None:
             return
-        self._stop = PlannedStop(self._loop.now(), self._world.settings.bounds.grace_s)
-        log_event("stopping", requests=len(self._forwardings))
+        self._stop = PlannedStop(self._loop.now(), self._services.settings.bounds.grace_s)
+        log_event("stopping", requests=len(self._forwarders))
         self._front.is_draining = True
-        self._roller.end_by(self._stop.lingers_until)
+        self._rollout.end_by(self._stop.closes_idle_at)
         self._peers.tell_now()
 
-    def _keep_house(self) -> None:
+    def _run_maintenance(self) -> None:
         now = self._loop.now()
-        for forwarding in list(self._forwardings):
-            forwarding.leave_old_weights(now)
-            forwarding.leave_ended_runner()
+        for forwarder in list(self._forwarders):
+            forwarder.move_off_old_weights(now)
+            forwarder.move_off_replaced_runner()
         self._loads.tell_again()
-        for instance in newly_silent(self._world, now):
-            news = SilenceNews(self._peers.own.address, instance)
-            take_silence(self._world, news, now)
-            self._peers.tell_all(news)
-        self._world.suspects.keep_house()
-        self._world.runner_limits.tell_again(now)
+        for instance in newly_silent(self._services, now):
+            update = SilenceNews(self._peers.own.address, instance)
+            take_silence(self._services, update, now)
+            self._peers.tell_all(update)
+        self._services.suspects.keep_house()
+        self._services.runner_limits.tell_again(now)
         self._blame_store.check()
         self._quotas.keep_house()
-        self._roller.check()
-        if self._source.stamp() != self._stamp:
+        self._rollout.check()
+        if self._settings_source.stamp() != self._settings_stamp:
             self._reload()
         EVENT_LOG.flush()
         if self._stop is not None:
-            self._go_on_stopping(self._stop, now)
-        self._loop.call_later(HOUSEKEEPING_S, self._keep_house)
-
-    def _go_on_stopping(self, stop: PlannedStop, now: float) -> None:
-        if now > stop.ends_at:
-            log_trouble("grace_over", requests=len(self._forwardings))
-            for forwarding in list(self._forwardings):
-                forwarding.shut_down()
+            self._continue_stop(self._stop, now)
+        self._loop.call_later(MAINTENANCE_INTERVAL_S, self._run_maintenance)
+
+    def _continue_stop(self, stop: PlannedStop, now: float) -> None:
+        if now > stop.aborts_at:
+            log_warning("grace_over", requests=len(self._forwarders))
+            for forwarder in list(self._forwarders):
+                forwarder.shut_down()
             self._loop.call_later(0.2, self._loop.stop)
-        elif now > stop.lingers_until:
+        elif now > stop.closes_idle_at:
             self._front.end_idle()
-            is_idle = not self._forwardings and self._front.connections == 0
-            if is_idle and not self._world.suspects.watch.has_open_cases():
+            is_idle = not self._forwarders and self._front.connections == 0
+            if is_idle and not self._services.suspects.watch.has_open_cases():
                 self._loop.stop()
 
 
-def run_router(source: SettingsSource, dialect: Dialect, decisions: Path) -> None:
+def run_router(source: SettingsSource, adapter: PlatformAdapter, decisions: Path) -> None:
     """Run a router until it is stopped; raises SettingsError if it cannot start.
 
     Args:
         decisions: an optional file of tuning parameters that override the defaults of
             :mod:`martenrun.router.decisions`.
     """
-    RouterProcess(source, dialect, load_decisions(decisions)).run()
+    RouterProcess(source, adapter, load_decisions(decisions)).run()
--- a/src/martenrun/router/relay_follower.py
+++ b/src/martenrun/router/relay_follower.py
@@ -8,7 +8,7 @@
 from martenrun.net.http import HttpAnswer
 from martenrun.net.loop import Loop
 from martenrun.router.dataset_copy import DatasetCopy
-from martenrun.router.log import log_trouble
+from martenrun.router.log import log_warning
 from martenrun.router.messages import Dataset, HttpCall, StoredObject
 from martenrun.router.relay import Copies
 from martenrun.router.relay_messages import (
@@ -122,7 +122,7 @@
         self._is_asking = False
         if answer is None or answer.status != 200:
             status = None if answer is None else answer.status
-            log_trouble("relay_lost", address=address, status=status)
+            log_warning("relay_lost", address=address, status=status)
             self._reader_heard_at = None
             self._on_failed(address, answer is not None and _says_store_is_lost(answer))
             return
@@ -130,7 +130,7 @@
             news = ANSWER.decode(answer.body)
             objects = {name: unpacked(item.objects) for name, item in news.datasets.items()}
         except (msgspec.MsgspecError, zlib.error):
-            log_trouble("relay_unreadable", address=address)
+            log_warning("relay_unreadable", address=address)
             self._reader_heard_at = None
             self._on_failed(address, False)
             return
--- a/src/martenrun/router/request_quota.py
+++ b/src/martenrun/router/request_quota.py
@@ -2,14 +2,14 @@
 
 from collections.abc import Callable
 
-from martenrun.router.messages import Admitted
+from martenrun.router.messages import AdmittedRequest
 from martenrun.router.quotas.gate import Grant, QuotaGate
 
 
 class RequestQuota:
     """The grants of one request; a tenant without a limit needs none."""
 
-    def __init__(self, gate: QuotaGate | None, admitted: Admitted) -> None:
+    def __init__(self, gate: QuotaGate | None, admitted: AdmittedRequest) -> None:
         self._gate = gate
         self._tenant = admitted.tenant
         self._limit = None if admitted.tenant is None else admitted.tenant.limit
--- a/src/martenrun/router/world.py
+++ b/src/martenrun/router/request_services.py
@@ -7,11 +7,11 @@
 from martenrun.identity.rendezvous import weight
 from martenrun.net.loop import Loop
 from martenrun.router.decisions import Decisions
-from martenrun.router.dialect import Dialect
 from martenrun.router.knowledge import ConfigurationKnowledge, RunnerDirectory, WeightsKnowledge
-from martenrun.router.messages import KeptCacheStore, Route
+from martenrun.router.messages import KvCacheStore, Route
 from martenrun.router.overload import OverloadGuard
 from martenrun.router.placement import Placement
+from martenrun.router.platform_adapter import PlatformAdapter
 from martenrun.router.quotas.gate import QuotaGate
 from martenrun.router.retry_budget import RetryBudget
 from martenrun.router.runner_limits import RunnerLimits
@@ -31,7 +31,7 @@
 
 
 @attrs.define
-class World:
+class RequestServices:
     """Services and state that requests are handled with.
 
     Attributes:
@@ -49,37 +49,39 @@
 
     loop: Loop
     settings: RouterSettings
-    dialect: Dialect
+    adapter: PlatformAdapter
     configuration: ConfigurationKnowledge
     runners: RunnerDirectory
     weights: WeightsKnowledge
     pool: RunnerPool
     placement: Placement
     suspects: Suspects
-    node_count: Callable[[], int]
-    count: Callable[[str, Route, float], None]
-    store_works: Callable[[KeptCacheStore], bool]
-    note_reading: Callable[[RunnerState], None]
+    router_count: Callable[[], int]
+    record_outcome: Callable[[str, Route, float], None]
+    is_store_available: Callable[[KvCacheStore], bool]
+    on_prefill_changed: Callable[[RunnerState], None]
     refresh_loads: Callable[[], None]
     decisions: Decisions = attrs.field(factory=Decisions)
-    spends_from: float = 0.0
+    retry_slack_from: float = 0.0
     quotas: QuotaGate | None = None
     runner_limits: RunnerLimits = attrs.field(factory=RunnerLimits)
-    _budgets: dict[str, RetryBudget] = attrs.field(factory=dict)
-    _guards: dict[str, OverloadGuard] = attrs.field(factory=dict)
+    _retry_budgets: dict[str, RetryBudget] = attrs.field(factory=dict)
+    _overload_guards: dict[str, OverloadGuard] = attrs.field(factory=dict)
 
-    def budget(self, service: str) -> RetryBudget:
+    def retry_budget(self, service: str) -> RetryBudget:
         """Return this router's retry budget for a service."""
-        budget = self._budgets.get(service)
+        budget = self._retry_budgets.get(service)
         if budget is None:
-            budget = self._budgets[service] = RetryBudget(self.settings.bounds, self.spends_from)
+            budget = self._retry_budgets[service] = RetryBudget(
+                self.settings.bounds, self.retry_slack_from
+            )
         return budget
 
-    def guard(self, service: str) -> OverloadGuard:
+    def overload_guard(self, service: str) -> OverloadGuard:
         """Return the guard that decides whether a service is overloaded for another prompt."""
-        guard = self._guards.get(service)
+        guard = self._overload_guards.get(service)
         if guard is None:
-            guard = self._guards[service] = OverloadGuard(self.decisions.overload)
+            guard = self._overload_guards[service] = OverloadGuard(self.decisions.overload)
         return guard
 
     def runner_states(self, service: str) -> list[RunnerState]:
@@ -90,10 +92,10 @@
     def replace_settings(self, settings: RouterSettings) -> None:
         """Apply the bounds of new settings; addresses stay as they were at startup."""
         self.settings = settings
-        for budget in self._budgets.values():
+        for budget in self._retry_budgets.values():
             budget.bounds = settings.bounds
 
-    def oldest_weights(self, model: str, now: float) -> int:
+    def oldest_allowed_weights(self, model: str, now: float) -> int:
         """Return the oldest version of a model's weights that requests may be sent to."""
         return self.weights.oldest_allowed(model, self.old_weights_bound_s, now)
 
@@ -102,23 +104,29 @@
         """How long requests are sent to old weights after a newer version became the target."""
         return self.settings.bounds.weights_s - OLD_WEIGHTS_MARGIN_S
 
-    def overdue_weights(self, model: str, now: float) -> int:
+    def oldest_startable_weights(self, model: str, now: float) -> int:
         """Return the oldest version of a model's weights that may start queued requests."""
         bound_s = self.settings.bounds.weights_s - OVERDUE_MARGIN_S
         return self.weights.oldest_allowed(model, bound_s, now)
 
-    def memory_tokens(self, service: str) -> int:
+    def kv_cache_capacity(self, service: str) -> int:
         """Return the KV cache capacity of a service's runner in tokens; 0 if it has no model."""
         table = self.configuration.table
-        found = None if table is None else table.configuration.services.get(service)
-        return 0 if found is None or found.engine is None else found.engine.cache_tokens
-
-    def cache_store(self, prefix: bytes) -> str | None:
+        definition = None if table is None else table.configuration.services.get(service)
+        return (
+            0
+            if definition is None or definition.engine is None
+            else definition.engine.kv_cache_tokens
+        )
+
+    def kv_cache_store(self, prefix: bytes) -> str | None:
         """Return the address of the KV cache store responsible for a prefix, or None."""
         table = self.configuration.table
         if table is None:
             return None
-        works = [store for store in table.configuration.stores if self.store_works(store)]
-        if len(works) < 2:
-            return works[0].address if works else None
-        return max(works, key=lambda store: weight(prefix, store.address)).address
+        available = [
+            store for store in table.configuration.stores if self.is_store_available(store)
+        ]
+        if len(available) < 2:
+            return available[0].address if available else None
+        return max(available, key=lambda store: weight(prefix, store.address)).address
--- a/src/martenrun/router/trail.py
+++ b/src/martenrun/router/request_trace.py
@@ -1,31 +1,31 @@
 """Trace of one request, buffered until its outcome decides whether it is logged."""
 
 from martenrun.net.loop import Loop
-from martenrun.router.log import Value, log_event, log_trouble
-from martenrun.router.messages import Admitted
+from martenrun.router.log import Value, log_event, log_warning
+from martenrun.router.messages import AdmittedRequest
 from martenrun.router.quotas.gate import Grant
 from martenrun.router.retry import Failure, NextStep
 from martenrun.router.runner_state import RunnerState
 
 
-class RequestTrail:
+class RequestTrace:
     """Steps of a request; all of them are logged if it fails, else only its outcome."""
 
-    def __init__(self, loop: Loop, admitted: Admitted) -> None:
+    def __init__(self, loop: Loop, admitted: AdmittedRequest) -> None:
         self._loop = loop
         self._steps: list[tuple[float, str, dict[str, Value]]] = []
-        self._known: dict[str, Value] = {
+        self._common_fields: dict[str, Value] = {
             "request": admitted.call.request_id.decode("latin-1"),
             "route": admitted.route.name,
         }
 
-    def note(self, event: str, **fields: Value) -> None:
+    def record(self, event: str, **fields: Value) -> None:
         """Record a step."""
         self._steps.append((self._loop.now(), event, fields))
 
-    def note_grant(self, grant: Grant, event: str = "quota_asked") -> None:
+    def record_grant(self, grant: Grant, event: str = "quota_asked") -> None:
         """Record the outcome of a request for units of a tenant's or a runner's limit."""
-        self.note(
+        self.record(
             event,
             units=grant.use.units,
             is_granted=grant.is_granted,
@@ -36,22 +36,22 @@
             wait_ms=round(grant.wait_s * 1000),
         )
 
-    def note_sent(self, state: RunnerState, model: str | None, tries: int) -> None:
+    def record_sent(self, state: RunnerState, model: str | None, attempts: int) -> None:
         """Record that the request was sent to a runner."""
-        self.note(
+        self.record(
             "sent",
             instance=state.runner.instance,
             load=state.load,
             backlog=int(state.backlog_tokens),
             weights=state.weights_version(model or ""),
-            tries=tries,
+            tries=attempts,
         )
 
-    def note_failed(
+    def record_failed_attempt(
         self, instance: str, status: int, failure: Failure, step: NextStep, runs: int
     ) -> None:
         """Record a failed attempt and the next step."""
-        self.note(
+        self.record(
             "try_failed",
             instance=instance,
             failure=failure.value,
@@ -63,8 +63,8 @@
     def end(self, outcome: str, is_failure: bool, **fields: Value) -> None:
         """Log the outcome, preceded by the recorded steps if it is a failure."""
         if not is_failure:
-            log_event(outcome, **self._known, **fields)
+            log_event(outcome, **self._common_fields, **fields)
             return
         for at, event, step in self._steps:
-            log_trouble(event, **self._known, at_steady=round(at, 4), **step)
-        log_trouble(outcome, **self._known, **fields)
+            log_warning(event, **self._common_fields, at_steady=round(at, 4), **step)
+        log_warning(outcome, **self._common_fields, **fields)
--- a/src/martenrun/router/route_table.py
+++ b/src/martenrun/router/route_table.py
@@ -39,7 +39,7 @@
         return self.configuration.has_tenants and not route.is_open
 
 
-class SplitCounter:
+class TrafficSplitter:
     """Distributes a route's requests over its services by weight, evenly in any interval."""
 
     def __init__(self) -> None:
--- a/src/martenrun/router/entry.py
+++ b/src/martenrun/router/router_discovery.py
@@ -3,18 +3,18 @@
 from collections.abc import Callable
 
 from martenrun.net.server import Exchange
-from martenrun.router.dialect import Dialect
 from martenrun.router.peer_messages import RouterRecord
 from martenrun.router.peers import Peers
+from martenrun.router.platform_adapter import PlatformAdapter
 
 DIRECTORY_TTL_S = 1.0
 """How long callers may cache a response of the directory, in seconds."""
 
-MOST_ADDRESSES = 64
+MAX_ADDRESSES = 64
 """Maximum number of addresses in one response of the directory."""
 
 
-class Entry:
+class RouterDiscovery:
     """Serves readiness checks and the directory of routers.
 
     Args:
@@ -24,26 +24,26 @@
 
     def __init__(
         self,
-        dialect: Dialect,
+        adapter: PlatformAdapter,
         peers: Peers,
         refresh: Callable[[RouterRecord], None],
         is_ready: Callable[[], bool],
     ) -> None:
-        self._dialect = dialect
+        self._adapter = adapter
         self._peers = peers
         self._refresh = refresh
         self._is_ready = is_ready
 
     def serve_ready(self, exchange: Exchange) -> None:
         """Respond with 200 if this router is ready, else with 503."""
-        if not self._dialect.is_ready_question(exchange.request):
+        if not self._adapter.is_readiness_request(exchange.request):
             exchange.respond(404, [])
         else:
             exchange.respond(200 if self._is_ready() else 503, [])
 
     def serve_directory(self, exchange: Exchange) -> None:
         """Respond with the addresses of routers for a caller's zone."""
-        zone = self._dialect.directory_zone(exchange.request)
+        zone = self._adapter.directory_zone(exchange.request)
         if zone is None:
             exchange.respond(404, [])
             return
@@ -51,7 +51,7 @@
         if not addresses:
             exchange.respond(503, [(b"Retry-After", b"0.2")])
             return
-        body = self._dialect.directory_answer(addresses, DIRECTORY_TTL_S)
+        body = self._adapter.directory_response(addresses, DIRECTORY_TTL_S)
         exchange.respond(200, [(b"Content-Type", b"application/json")], body)
 
     def _addresses(self, zone: str) -> list[str]:
@@ -63,6 +63,6 @@
         self._refresh(own)
         records = [record for record in [own, *self._peers.live()] if not record.is_leaving]
         current = [record for record in records if record.is_current] or records
-        near = [record for record in current if record.zone == zone]
-        chosen = near if len(near) > 1 else current
-        return [record.front for record in chosen][:MOST_ADDRESSES]
+        in_zone = [record for record in current if record.zone == zone]
+        chosen = in_zone if len(in_zone) > 1 else current
+        return [record.front for record in chosen][:MAX_ADDRESSES]
--- a/src/martenrun/router/router_table.py
+++ b/src/martenrun/router/router_table.py
@@ -9,7 +9,7 @@
 import sys
 
 from martenrun.router.known_router import KnownRouter
-from martenrun.router.log import log_event, log_trouble
+from martenrun.router.log import log_event, log_warning
 from martenrun.router.peer_messages import ReadingNews, RouterBeat, RouterRecord
 
 FULL_RATE_ROUTERS = 16
@@ -303,7 +303,7 @@
                 self._end_life(known, known.beat)
                 known.record.beat = known.beat
                 self._departed[address] = known.record
-                log_trouble("router_forgotten", address=address)
+                log_warning("router_forgotten", address=address)
         while len(self._departed) > MOST_DEPARTED:
             del self._departed[next(iter(self._departed))]
 
--- a/src/martenrun/router/runner_access.py
+++ b/src/martenrun/router/runner_access.py
@@ -4,8 +4,8 @@
 
 from martenrun.router.quotas.gate import Grant
 from martenrun.router.quotas.limit import runner_account
+from martenrun.router.request_services import RequestServices
 from martenrun.router.runner_state import RunnerState
-from martenrun.router.world import World
 
 GRANT_VALID_S = 0.5
 """Maximum age of a grant request at its decision, in seconds.
@@ -21,7 +21,7 @@
 class RunnerAccess:
     """Obtains the grants of one request: one for each send to a rate-limited runner."""
 
-    def __init__(self, world: World) -> None:
+    def __init__(self, world: RequestServices) -> None:
         self._world = world
         self._pending: tuple[RunnerState, Grant] | None = None
         self._granted: tuple[RunnerState, Grant | None] | None = None
--- a/src/martenrun/router/runner_choice.py
+++ b/src/martenrun/router/runner_choice.py
@@ -3,12 +3,12 @@
 import attrs
 
 from martenrun.net.http import HttpRequest
-from martenrun.router.messages import Admitted
+from martenrun.router.messages import AdmittedRequest
 from martenrun.router.placement import PlacementQuestion
+from martenrun.router.request_services import RequestServices
 from martenrun.router.runner_limits import MINIMUM_REQUESTS_PER_S, RunnerLimit
-from martenrun.router.runner_request import placement_question, request_groups, waiting_prompt
+from martenrun.router.runner_request import placement_query, request_groups, waiting_prompt
 from martenrun.router.runner_state import RunnerState
-from martenrun.router.world import World
 
 MINIMUM_YIELD_S = 1.0
 """Minimum retry delay of a request that yields to more urgent ones, in seconds."""
@@ -21,11 +21,13 @@
         tried: instances that are not chosen again.
     """
 
-    def __init__(self, world: World, request: HttpRequest, admitted: Admitted) -> None:
+    def __init__(
+        self, world: RequestServices, request: HttpRequest, admitted: AdmittedRequest
+    ) -> None:
         self._world = world
         self._request = request
         self._admitted = admitted
-        self._guard = world.guard(admitted.service)
+        self._guard = world.overload_guard(admitted.service)
         self._groups = request_groups(admitted)
         self._fingerprint: bytes | None = None
         self.tried: list[str] = []
@@ -43,7 +45,7 @@
         """Return what the placement is asked."""
         run = self.known_fingerprint()
         apart_by = run if self._world.suspects.is_suspect(run) else None
-        return placement_question(self._world, self._admitted, self.tried, apart_by)
+        return placement_query(self._world, self._admitted, self.tried, apart_by)
 
     def known_fingerprint(self) -> bytes | None:
         """Return this request's fingerprint if something is known of requests like it."""
@@ -72,7 +74,7 @@
         if self._is_urgent():
             self._guard.note_urgent_refused(now)
         per_s = sum(limit.rate_limit.units_per_s for _, limit in self._limited())
-        per_router = max(MINIMUM_REQUESTS_PER_S, per_s) / max(1, self._world.node_count())
+        per_router = max(MINIMUM_REQUESTS_PER_S, per_s) / max(1, self._world.router_count())
         return self._guard.retry_turns.next_delay_s(limited_s, per_router, now)
 
     def _limited(self) -> list[tuple[RunnerState, RunnerLimit]]:
--- a/src/martenrun/router/runner_limits.py
+++ b/src/martenrun/router/runner_limits.py
@@ -11,7 +11,7 @@
 import attrs
 
 from martenrun.router.limit_messages import LimitNews, LimitRecord
-from martenrun.router.log import log_event, log_trouble
+from martenrun.router.log import log_event, log_warning
 from martenrun.router.messages import AdvertisedLimit
 from martenrun.router.quotas.limit import RateLimit
 
@@ -146,7 +146,7 @@
         rate = advertised.requests_per_s
         if rate is None:
             self.count("unreadable")
-            log_trouble("runner_limit_unreadable", instance=instance, value=advertised.text)
+            log_warning("runner_limit_unreadable", instance=instance, value=advertised.text)
             return
         known = self._limits.get(instance)
         if known is not None and not known.recovery_steps and known.requests_per_s == rate:
--- a/src/martenrun/router/runner_pool.py
+++ b/src/martenrun/router/runner_pool.py
@@ -7,31 +7,31 @@
 from martenrun.router.messages import Runner
 from martenrun.router.runner_state import RunnerState
 
-DEFAULT_REST_S = 4.0
+DEFAULT_IDLE_LIMIT_S = 4.0
 """Maximum idle time for reusing a connection if the runner advertises no keep-alive time."""
 
-SAFE_REST_S = 3.0
+SAFE_IDLE_LIMIT_S = 3.0
 """Maximum idle time for requests that must not run twice, in seconds.
 
 The runner must not be about to close the connection.  With 0.8 s half of these requests opened a
 new connection although idle ones were available: 0.650 -> 0.660 of worth.
 """
 
-SUSPECT_REST_S = 0.8
+SUSPECT_IDLE_LIMIT_S = 0.8
 """Maximum idle time for such requests while a stale connection was seen recently, in seconds."""
 
-FORGETFUL_S = 10.0
+STALE_MEMORY_S = 10.0
 """How long a stale connection lowers the maximum idle time of others, in seconds."""
 
-REST_MARGIN_S = 0.6
+IDLE_LIMIT_MARGIN_S = 0.6
 """Connections are not reused this many seconds before the advertised keep-alive time ends."""
 
-KEPT_CONNECTIONS = 32
+MAX_IDLE_CONNECTIONS = 32
 """Maximum number of idle connections per runner."""
 
 
 @attrs.define
-class _Entry:
+class _PooledRunner:
     state: RunnerState
     idle: list[ClientConnection] = attrs.field(factory=list)
 
@@ -41,19 +41,19 @@
 
     def __init__(self, loop: Loop) -> None:
         self._loop = loop
-        self._entries: dict[str, _Entry] = {}
+        self._entries: dict[str, _PooledRunner] = {}
         self._by_service: dict[str, list[RunnerState]] = {}
-        self._forgotten_at = -FORGETFUL_S
+        self._stale_seen_at = -STALE_MEMORY_S
 
     def update(self, runners: dict[str, Runner]) -> None:
         """Replace the listed runners, keeping the state of those listed before."""
         for instance in list(self._entries):
             if instance not in runners:
-                self._drop(instance)
+                self._remove(instance)
         for instance, runner in runners.items():
             entry = self._entries.get(instance)
             if entry is None:
-                self._entries[instance] = _Entry(RunnerState(runner))
+                self._entries[instance] = _PooledRunner(RunnerState(runner))
             else:
                 entry.state.runner = runner
                 if runner.is_draining:
@@ -75,7 +75,7 @@
         entry = self._entries.get(instance)
         return None if entry is None else entry.state
 
-    def has_kept(self, instance: str) -> bool:
+    def has_idle_connection(self, instance: str) -> bool:
         """Return whether an idle connection to a runner is still open."""
         entry = self._entries.get(instance)
         return entry is not None and any(connection.is_open for connection in entry.idle)
@@ -90,63 +90,70 @@
     ) -> ClientConnection:
         """Send a request to a runner; raises OSError if no connection can be opened."""
         entry = self._entries.get(state.runner.instance)
-        connection = None if entry is None else self._rested(entry, may_repeat)
+        connection = None if entry is None else self._take_idle_connection(entry, may_repeat)
         if connection is None:
             connection = ClientConnection(
-                self._loop, state.runner.address, self._keeper(entry), self._forgetter(entry)
+                self._loop,
+                state.runner.address,
+                self._reuse_handler(entry),
+                self._idle_close_handler(entry),
             )
         connection.send(request, reader, expected_id)
         return connection
 
-    def _rested(self, entry: _Entry, may_repeat: bool) -> ClientConnection | None:
+    def _take_idle_connection(
+        self, entry: _PooledRunner, may_repeat: bool
+    ) -> ClientConnection | None:
         now = self._loop.now()
         while entry.idle:
             connection = entry.idle[-1]
-            limit_s = (connection.keep_alive_s or DEFAULT_REST_S + REST_MARGIN_S) - REST_MARGIN_S
-            rested_s = now - connection.idle_since
-            if rested_s < limit_s and connection.is_open:
-                if not may_repeat and rested_s > self._safe_rest_s(now):
+            limit_s = (
+                connection.keep_alive_s or DEFAULT_IDLE_LIMIT_S + IDLE_LIMIT_MARGIN_S
+            ) - IDLE_LIMIT_MARGIN_S
+            idle_s = now - connection.idle_since
+            if idle_s < limit_s and connection.is_open:
+                if not may_repeat and idle_s > self._safe_idle_limit_s(now):
                     return None
                 return entry.idle.pop()
             self._close_idle(entry)
         return None
 
-    def note_broken(self, connection: ClientConnection) -> None:
+    def record_broken_connection(self, connection: ClientConnection) -> None:
         """Record a connection that broke before any response; a reused one was stale."""
         if connection.was_kept:
-            self._forgotten_at = self._loop.now()
+            self._stale_seen_at = self._loop.now()
 
-    def _safe_rest_s(self, now: float) -> float:
-        is_suspect = now - self._forgotten_at < FORGETFUL_S
-        return SUSPECT_REST_S if is_suspect else SAFE_REST_S
+    def _safe_idle_limit_s(self, now: float) -> float:
+        is_suspect = now - self._stale_seen_at < STALE_MEMORY_S
+        return SUSPECT_IDLE_LIMIT_S if is_suspect else SAFE_IDLE_LIMIT_S
 
-    def _keeper(self, entry: _Entry | None):  # type: ignore[no-untyped-def]
-        def keep(connection: ClientConnection) -> None:
+    def _reuse_handler(self, entry: _PooledRunner | None):  # type: ignore[no-untyped-def]
+        def on_reusable(connection: ClientConnection) -> None:
             if entry is None or entry.state.runner.is_draining:
                 connection.close()
             elif self._entries.get(entry.state.runner.instance) is not entry:
                 # The runner was removed during the request, so its idle list is never closed.
                 connection.close()
-            elif len(entry.idle) < KEPT_CONNECTIONS:
+            elif len(entry.idle) < MAX_IDLE_CONNECTIONS:
                 entry.idle.append(connection)
             else:
                 connection.close()
 
-        return keep
+        return on_reusable
 
     @staticmethod
-    def _forgetter(entry: _Entry | None):  # type: ignore[no-untyped-def]
-        def forget(connection: ClientConnection) -> None:
+    def _idle_close_handler(entry: _PooledRunner | None):  # type: ignore[no-untyped-def]
+        def on_idle_close(connection: ClientConnection) -> None:
             if entry is not None and connection in entry.idle:
                 entry.idle.remove(connection)
 
-        return forget
+        return on_idle_close
 
     @staticmethod
-    def _close_idle(entry: _Entry) -> None:
+    def _close_idle(entry: _PooledRunner) -> None:
         idle, entry.idle = entry.idle, []
         for connection in idle:
             connection.close()
 
-    def _drop(self, instance: str) -> None:
+    def _remove(self, instance: str) -> None:
         self._close_idle(self._entries.pop(instance))
--- a/src/martenrun/router/silence.py
+++ b/src/martenrun/router/silence.py
@@ -2,14 +2,14 @@
 
 from martenrun.router.log import log_event
 from martenrun.router.peer_messages import SilenceNews
+from martenrun.router.request_services import RequestServices
 from martenrun.router.runner_state import RunnerState
-from martenrun.router.world import World
 
 TOLD_AGAIN_S = 1.5
 """After how long a runner that stays silent is told of again, in seconds."""
 
 
-def newly_silent(world: World, now: float) -> list[str]:
+def newly_silent(world: RequestServices, now: float) -> list[str]:
     """Return the runners to tell of, and take them for told.
 
     Only while others answer: a router that hears from none is cut off itself.
@@ -40,7 +40,7 @@
     return since is not None and any(state.heard_at > since for state in states)
 
 
-def take_silence(world: World, news: SilenceNews, now: float) -> None:
+def take_silence(world: RequestServices, news: SilenceNews, now: float) -> None:
     """Take in that a router hears nothing from a runner."""
     state = world.pool.state(news.instance)
     if state is None:
--- a/src/martenrun/router/store_client.py
+++ b/src/martenrun/router/store_client.py
@@ -10,7 +10,7 @@
 from martenrun.net.client import ClientConnection
 from martenrun.net.http import STATUS_OK, Headers, HttpAnswer, request_bytes
 from martenrun.net.loop import Loop, Timer
-from martenrun.router.log import log_trouble
+from martenrun.router.log import log_warning
 from martenrun.router.messages import HttpCall
 
 MAXIMUM_IDLE_S = 10.0
@@ -103,7 +103,7 @@
             self._timer = self._loop.call_later(left_s, self._look)
             return
         if self._heard_at is not None:
-            log_trouble("answer_given_up", status=self._status, bytes=len(self._body))
+            log_warning("answer_given_up", status=self._status, bytes=len(self._body))
         if self.connection is not None:
             self.connection.close()
         self._finish(None)
--- a/src/martenrun/router/store_watch.py
+++ b/src/martenrun/router/store_watch.py
@@ -8,9 +8,9 @@
 from martenrun.net.http import STATUS_OK, HttpAnswer
 from martenrun.net.loop import Loop
 from martenrun.router.dataset_copy import DatasetCopy
-from martenrun.router.dialect import Dialect
-from martenrun.router.log import log_event, log_trouble
+from martenrun.router.log import log_event, log_warning
 from martenrun.router.messages import StoredObject, UnreadableError
+from martenrun.router.platform_adapter import PlatformAdapter
 from martenrun.router.store_client import HttpCaller
 
 ANSWER_TIMEOUT_S = 0.9
@@ -57,7 +57,7 @@
         self,
         loop: Loop,
         store: HttpCaller,
-        dialect: Dialect,
+        dialect: PlatformAdapter,
         cfg: FollowSettings,
         copy: DatasetCopy,
         on_taken: Callable[[], None],
@@ -204,8 +204,8 @@
         self._note_left_out(changes.unreadable)
         is_after_outage = self._is_after_outage()
         for event in changes.events:
-            changed = [] if event.is_gone else [event.stored]
-            gone = [event.stored.name] if event.is_gone else []
+            changed = [] if event.is_deleted else [event.stored]
+            gone = [event.stored.name] if event.is_deleted else []
             self._copy.apply(changed, gone, changes.revision, is_after_outage, self._loop.now())
         self._copy.revision = max(self._copy.revision or 0, changes.revision)
         self._taken(sent_at, self._cfg.rest_s if changes.events else 0.0)
@@ -224,19 +224,19 @@
         self.is_current = self._failures <= 1
         if self._failures == 1:
             status = None if answer is None else answer.status
-            log_trouble("store_lost", dataset=self._copy.dataset.value, status=status)
+            log_warning("store_lost", dataset=self._copy.dataset.value, status=status)
         pause_s = self._pause_s * random.uniform(0.5, 1.0)
         self._pause_s = min(LONGEST_PAUSE_S, self._pause_s * 2)
         self._again_in(pause_s, again)
 
     def _fail_unreadable(self, answer: HttpAnswer, exc: UnreadableError) -> None:
         """Go on from a whole list: what the answer would have told is not known."""
-        log_trouble("answer_unreadable", dataset=self._copy.dataset.value, fault=str(exc)[:100])
+        log_warning("answer_unreadable", dataset=self._copy.dataset.value, fault=str(exc)[:100])
         self._fail(answer, lambda: self._list(None, self._loop.now()))
 
     def _note_left_out(self, count: int) -> None:
         if count:
-            log_trouble("objects_left_out", dataset=self._copy.dataset.value, count=count)
+            log_warning("objects_left_out", dataset=self._copy.dataset.value, count=count)
 
     def _again_in(self, pause_s: float, again: Callable[[], None]) -> None:
         """Make the next call after a pause, unless the follower is stopped meanwhile."""
@@ -245,7 +245,7 @@
 
     def _succeed(self) -> None:
         if self._failures:
-            log_trouble("store_regained", dataset=self._copy.dataset.value, failures=self._failures)
+            log_warning("store_regained", dataset=self._copy.dataset.value, failures=self._failures)
             self._failures = 0
             self._returned_at = self._loop.now()
         self._pause_s = FIRST_PAUSE_S
--- a/src/martenrun/router/suspects.py
+++ b/src/martenrun/router/suspects.py
@@ -14,8 +14,8 @@
 from martenrun.router.blame_table import BlamedRequest, BlameTable
 from martenrun.router.crash_watch import CrashWatch, Probe, RunnerKnowledge
 from martenrun.router.fingerprint import fingerprint, outline
-from martenrun.router.log import log_event, log_trouble
-from martenrun.router.messages import Admitted
+from martenrun.router.log import log_event, log_warning
+from martenrun.router.messages import AdmittedRequest
 from martenrun.router.runner_state import RunnerState
 
 TOLD_AGAIN_S = 0.5
@@ -60,7 +60,7 @@
 
     # Requests
 
-    def fingerprint(self, request: HttpRequest, admitted: Admitted) -> bytes | None:
+    def fingerprint(self, request: HttpRequest, admitted: AdmittedRequest) -> bytes | None:
         """Return the fingerprint of a request of which something is known, else None."""
         if not len(self.table) or not self.table.knows_outline(outline(request, admitted)):
             return None
@@ -75,11 +75,15 @@
         """Whether a request may have ended a runner."""
         return run is not None and self.table.starts(run) > 0
 
-    def note_broken(self, state: RunnerState, request: HttpRequest, admitted: Admitted) -> None:
+    def note_broken(
+        self, state: RunnerState, request: HttpRequest, admitted: AdmittedRequest
+    ) -> None:
         """Take in that the connection of a run ended before its answer did."""
         self.watch.note_broken(state, fingerprint(request, admitted))
 
-    def note_left(self, state: RunnerState, request: HttpRequest, admitted: Admitted) -> None:
+    def note_left(
+        self, state: RunnerState, request: HttpRequest, admitted: AdmittedRequest
+    ) -> None:
         """Take in that a runner started anew while it ran a request."""
         if not state.runner.is_draining:
             self._on_ended(state.runner.instance, [fingerprint(request, admitted)])
@@ -163,7 +167,7 @@
         """Log which requests are held back from now on, or no longer."""
         held = set(self.table.held(self._loop.now())) if len(self.table) else set()
         for run in held - self._held:
-            log_trouble("request_held_back", fingerprint=run.hex(), starts=self.table.starts(run))
+            log_warning("request_held_back", fingerprint=run.hex(), starts=self.table.starts(run))
         for run in self._held - held:
             log_event("request_let_go", fingerprint=run.hex())
         self._held = held
--- a/src/martenrun/router/weights_news.py
+++ b/src/martenrun/router/weights_news.py
@@ -3,8 +3,8 @@
 from martenrun.net.loop import Loop
 from martenrun.router.peer_messages import WeightsNews
 from martenrun.router.peers import Peers
+from martenrun.router.request_services import RequestServices
 from martenrun.router.runner_state import LOADING_MEMORY_S, RunnerState
-from martenrun.router.world import World
 
 TOLD_TOGETHER_S = 0.02
 """For how long news of runners are put together, in seconds.
@@ -34,7 +34,7 @@
             self._peers.tell_all(WeightsNews(instances, model, version, is_loaded))
 
 
-def take_weights_news(world: World, news: WeightsNews) -> None:
+def take_weights_news(world: RequestServices, news: WeightsNews) -> None:
     """Take in that runners load weights or have them now."""
     for instance in news.instances:
         state = world.pool.state(instance)
--- a/src/martenrun/router/weights_roll.py
+++ b/src/martenrun/router/weights_roll.py
@@ -11,7 +11,7 @@
 from martenrun.net.http import HttpAnswer
 from martenrun.router.knowledge import decoded
 from martenrun.router.lease import Lease
-from martenrun.router.log import log_event, log_trouble
+from martenrun.router.log import log_event, log_warning
 from martenrun.router.messages import (
     HttpCall,
     LeaseRecord,
@@ -22,11 +22,11 @@
 from martenrun.router.peer_messages import LeaseNews, WeightsNews
 from martenrun.router.peers import Peers
 from martenrun.router.readers import strong_first
+from martenrun.router.request_services import RequestServices
 from martenrun.router.roll_plan import RollQuestion, lacking, runners_to_order
 from martenrun.router.runner_state import RunnerState
 from martenrun.router.store_client import HttpCaller
 from martenrun.router.weights_news import WeightsTeller, take_weights_news
-from martenrun.router.world import World
 
 TICK_S = 0.1
 """How often the roll is looked at while runners lack weights, in seconds."""
@@ -72,7 +72,7 @@
 class WeightsRoller:
     """Gives the orders of this router while it holds the lease."""
 
-    def __init__(self, world: World, peers: Peers, lease: Lease) -> None:
+    def __init__(self, world: RequestServices, peers: Peers, lease: Lease) -> None:
         self._world = world
         self._peers = peers
         self._lease = lease
@@ -260,7 +260,7 @@
     def _ask_report(self, state: RunnerState, model: str) -> None:
         self._call(
             state,
-            self._world.dialect.ask_report(),
+            self._world.adapter.report_request(),
             REPORT_TIMEOUT_S,
             lambda answer: self._on_report(answer, state, model),
         )
@@ -274,11 +274,11 @@
         if answer is None or answer.status != STATUS_OK:
             self._drop(state, "no_report")
             return
-        report = decoded(answer.body, self._world.dialect.read_report)
+        report = decoded(answer.body, self._world.adapter.read_report)
         if report is None:
             self._drop(state, "report_unreadable")
             return
-        if report.born_ms != state.runner.born_ms and report.born_ms is not None:
+        if report.started_at_ms != state.runner.started_at_ms and report.started_at_ms is not None:
             # It has started anew and its entry does not tell yet: its orders are counted anew.
             self._drop(state, "started_again")
             return
@@ -325,7 +325,7 @@
         )
         self._call(
             state,
-            self._world.dialect.order_weights(order),
+            self._world.adapter.order_weights(order),
             ORDER_TIMEOUT_S,
             lambda answer: self._on_ordered(answer, state, model, version),
         )
@@ -340,14 +340,14 @@
         if instance not in self._loads:
             self._lease.turns.finish(instance)
             return
-        outcome = None if answer is None else self._world.dialect.read_order_outcome(answer.status)
+        outcome = None if answer is None else self._world.adapter.read_order_outcome(answer.status)
         if outcome is OrderOutcome.ACCEPTED:
             return
         if outcome is OrderOutcome.HOLDS_ALREADY:
             self._end_load(instance)
             self._tell(state, model, version, is_loaded=True)
             return
-        log_trouble(
+        log_warning(
             "order_failed", instance=instance, outcome=None if outcome is None else outcome.value
         )
         if outcome is None:
@@ -367,7 +367,7 @@
         self._end_load(state.runner.instance)
         self._not_before[state.runner.instance] = now + 2 * REPORT_INTERVAL_S
         state.loading_until = 0.0
-        log_trouble("load_put_off", instance=state.runner.instance, reason=reason)
+        log_warning("load_put_off", instance=state.runner.instance, reason=reason)
 
     def _call(self, state, call: HttpCall, timeout_s: float, on_answer) -> None:  # type: ignore[no-untyped-def]
         address = state.runner.address
--- a/tests/router/blame_fleet.py
+++ b/tests/router/blame_fleet.py
@@ -78,9 +78,9 @@
         self.suspects = suspects(fleet.loop, tell=peers.tell_all)
         peers._on_news = self.suspects.take
         peers._newcomer_news = lambda routers: filter(None, [self.suspects.newcomer_news(routers)])
-        copy = self.copies[Dataset.BLAME]
+        copy = self.copies[Dataset.CRASH_RECORDS]
         copy._listener = CopyListener(
-            lambda stored: self.suspects.take_stored(DIALECT.read_blame(stored)),
+            lambda stored: self.suspects.take_stored(DIALECT.read_crash_records(stored)),
             lambda _name: None,
             lambda: None,
         )
--- a/tests/router/blame_world.py
+++ b/tests/router/blame_world.py
@@ -2,7 +2,7 @@
 
 from martenrun.net.http import HttpRequest
 from martenrun.router.crash_watch import RunnerKnowledge
-from martenrun.router.messages import Admitted, Call, Tenant
+from martenrun.router.messages import AdmittedRequest, Call, Tenant
 from martenrun.router.suspects import Suspects
 
 from .builders import route
@@ -61,4 +61,4 @@
     """Return what admission makes of one."""
     call = Call(b"r1", host, "/a/x", b"k1", 3.0, None, (), 0, 0)
     who = None if tenant is None else Tenant(tenant, 1, False)
-    return Admitted(call, route(**changes), who, "s", 103.0, 102.0)
+    return AdmittedRequest(call, route(**changes), who, "s", 103.0, 102.0)
--- a/tests/router/fleet_world.py
+++ b/tests/router/fleet_world.py
@@ -13,7 +13,7 @@
 
 from .gossip_world import GossipWorld
 
-DATASETS = (Dataset.CONFIGURATION, Dataset.RUNNERS, Dataset.WEIGHTS, Dataset.BLAME)
+DATASETS = (Dataset.CONFIGURATION, Dataset.RUNNERS, Dataset.WEIGHTS, Dataset.CRASH_RECORDS)
 STORE_DELAY_S = 0.004
 LINK_DELAY_S = 0.002
 RUNNERS = 64
--- a/tests/router/test_broken_entries.py
+++ b/tests/router/test_broken_entries.py
@@ -96,7 +96,7 @@
 
     def __init__(self):
         self.loop = FakeLoop()
-        self.dialect = DIALECT
+        self.adapter = DIALECT
         self.configuration = ConfigurationKnowledge()
         self.runners = RunnerDirectory()
         self.weights = WeightsKnowledge()
--- a/tests/router/test_configuration_told.py
+++ b/tests/router/test_configuration_told.py
@@ -14,7 +14,7 @@
 from martenrun.net.http import HttpRequest
 from martenrun.router.admission import Admission, Refusal
 from martenrun.router.knowledge import ConfigurationKnowledge
-from martenrun.router.messages import Admitted, Call
+from martenrun.router.messages import AdmittedRequest, Call
 
 from .builders import bounds, configuration
 from .fakes import FakeLoop
@@ -48,20 +48,20 @@
 
 
 def test_it_serves_until_shortly_before_the_bound_and_then_refuses(behind):
-    assert isinstance(decide_at(behind, 101.5), Admitted)
+    assert isinstance(decide_at(behind, 101.5), AdmittedRequest)
     refusal = decide_at(behind, 101.9)
     assert isinstance(refusal, Refusal) and refusal.status == 503
 
 
 def test_it_serves_again_once_it_has_caught_up(behind):
     take(behind, 12, 102.5)
-    assert isinstance(decide_at(behind, 104.0), Admitted)
+    assert isinstance(decide_at(behind, 104.0), AdmittedRequest)
 
 
 def test_a_version_between_is_not_enough_once_its_successor_is_due(behind):
     behind.configuration.hear([(15, 0)], 101.0)
     take(behind, 12, 101.5)
-    assert isinstance(decide_at(behind, 102.5), Admitted)
+    assert isinstance(decide_at(behind, 102.5), AdmittedRequest)
     assert isinstance(decide_at(behind, 102.9), Refusal)
 
 
@@ -83,5 +83,5 @@
     known = behind.configuration
     take(behind, 12, 100.0)
     known.confirm(100.5)
-    assert isinstance(decide_at(behind, 104.0), Admitted)
+    assert isinstance(decide_at(behind, 104.0), AdmittedRequest)
     assert known.told(104.0)[-1] == (12, 4_000)
--- a/tests/router/test_denials.py
+++ b/tests/router/test_denials.py
@@ -53,7 +53,7 @@
         self.knowledge = ConfigurationKnowledge()
         self.knowledge.take(configuration(1))
         self.knowledge.confirm(self.loop.now())
-        world = SimpleNamespace(loop=self.loop, configuration=self.knowledge, dialect=DIALECT)
+        world = SimpleNamespace(loop=self.loop, configuration=self.knowledge, adapter=DIALECT)
         admission = SimpleNamespace(
             decide=lambda exchange, call: SimpleNamespace(status=404, reason="no_route")
         )
--- a/tests/router/test_event_stream.py
+++ b/tests/router/test_event_stream.py
@@ -15,22 +15,22 @@
 def test_events_do_not_depend_on_chunk_boundaries(chunk_sizes):
     stream = b"".join(event(number) for number in range(1, 8))
     splitter = EventSplitter(0)
-    events = []
+    got = []
     remaining = stream
     for size in chunk_sizes:
-        events += splitter.feed(remaining[:size])
+        got += splitter.feed(remaining[:size])
         remaining = remaining[size:]
-    events += splitter.feed(remaining)
-    assert b"".join(item.data for item in events) == stream
-    assert [item.event_id for item in events] == list(range(1, 8))
-    assert not splitter.has_rest
+    got += splitter.feed(remaining)
+    assert b"".join(item.data for item in got) == stream
+    assert [item.event_id for item in got] == list(range(1, 8))
+    assert not splitter.has_partial_event
 
 
 def test_an_incomplete_event_is_buffered_and_can_be_discarded():
     splitter = EventSplitter(0)
     assert len(splitter.feed(event(1) + event(2)[:-3])) == 1
-    assert splitter.has_rest
-    splitter.restart()
+    assert splitter.has_partial_event
+    splitter.discard_partial_event()
     assert [item.event_id for item in splitter.feed(event(2))] == [2]
 
 
--- a/tests/router/test_forwarding.py
+++ b/tests/router/test_forwarding.py
@@ -5,15 +5,15 @@
 
 from martenrun.net.http import HttpRequest
 from martenrun.platform import DIALECT
-from martenrun.router import trail
+from martenrun.router import request_trace
 from martenrun.router.decisions import DEFAULTS
 from martenrun.router.fingerprint import fingerprint
-from martenrun.router.forwarding import Forwarding
+from martenrun.router.forwarding import RequestForwarder
 from martenrun.router.knowledge import ConfigurationKnowledge, RunnerDirectory, WeightsKnowledge
-from martenrun.router.messages import Admitted, Call, PromptPart, RouteKind, WantedWeights
+from martenrun.router.messages import AdmittedRequest, Call, PromptPart, RouteKind, TargetWeights
 from martenrun.router.placement import Placement
 from martenrun.router.reading_speed import LEAST_SAMPLES
-from martenrun.router.world import World
+from martenrun.router.request_services import RequestServices
 
 from .blame_world import Probes, suspects
 from .builders import bounds, configuration, route, state
@@ -82,7 +82,7 @@
     def state(self, instance):
         return next((s for s in self._states if s.runner.instance == instance), None)
 
-    def note_broken(self, connection):
+    def record_broken_connection(self, connection):
         pass
 
     def send(self, chosen, data, reader, expected_id, may_repeat):
@@ -130,20 +130,20 @@
         configuration_state.confirm(self.loop.now())
         self.outcomes = []
         self.probes = Probes()
-        self.world = World(
+        self.services = RequestServices(
             loop=self.loop,
             settings=settings,
-            dialect=DIALECT,
+            adapter=DIALECT,
             configuration=configuration_state,
             runners=RunnerDirectory(),
             weights=self.weights,
             pool=self.pool,
             placement=Placement(),
             suspects=suspects(self.loop, self.probes),
-            node_count=lambda: 1,
-            count=lambda outcome, _route, _seconds: self.outcomes.append(outcome),
-            store_works=lambda _store: True,
-            note_reading=lambda _state: None,
+            router_count=lambda: 1,
+            record_outcome=lambda outcome, _route, _seconds: self.outcomes.append(outcome),
+            is_store_available=lambda _store: True,
+            on_prefill_changed=lambda _state: None,
             refresh_loads=refresh_loads,
         )
         now = self.loop.now()
@@ -151,12 +151,14 @@
         parts = PARTS if model else ()
         call = Call(b"r1", "a.example", "/a/x", b"k1", 3.0, model, parts, 110, 0)
         self.route = custom_route or route()
-        admitted = Admitted(call, self.route, None, "s", now + 3.0, now + self.route.timeout_s)
+        admitted = AdmittedRequest(
+            call, self.route, None, "s", now + 3.0, now + self.route.timeout_s
+        )
         for _ in range(tokens_per_s and LEAST_SAMPLES):
-            self.world.guard("s").speed.note(tokens_per_s, 1.0)
-        self.forwarding = Forwarding(self.world, self.exchange, admitted, lambda _f: None)
+            self.services.overload_guard("s").speed.note(tokens_per_s, 1.0)
+        self.forwarder = RequestForwarder(self.services, self.exchange, admitted, lambda _f: None)
         setup(self)
-        self.forwarding.start()
+        self.forwarder.start()
 
     def run(self, seconds):
         self.loop.run_until(self.loop.now() + seconds)
@@ -241,7 +243,9 @@
 
 def test_the_longest_gap_of_a_stream_is_logged_at_its_end(monkeypatch):
     lines = []
-    monkeypatch.setattr(trail, "log_event", lambda event, **fields: lines.append((event, fields)))
+    monkeypatch.setattr(
+        request_trace, "log_event", lambda event, **fields: lines.append((event, fields))
+    )
     stream = route(kind=RouteKind.STREAM, timeout_s=20.0)
     case = ForwardingCase(custom_route=stream)
     reader = case.pool.readers[0]
@@ -263,11 +267,11 @@
     first = case.pool.sent[0]
     other = new if first == "i-0" else old
     other.learn_weights("m", 2)
-    case.weights.take(WantedWeights("m", 2), case.loop.now())
-    case.forwarding.leave_old_weights(case.loop.now() + 7.0)
+    case.weights.take(TargetWeights("m", 2), case.loop.now())
+    case.forwarder.move_off_old_weights(case.loop.now() + 7.0)
     assert len(case.pool.sent) == 1
     case.loop.time += 7.5
-    case.forwarding.leave_old_weights(case.loop.now())
+    case.forwarder.move_off_old_weights(case.loop.now())
     assert case.pool.sent == [first, other.runner.instance]
     assert case.pool.connections[0].is_closed
 
@@ -286,7 +290,9 @@
 def test_a_prompt_is_rejected_at_once_under_overload(monkeypatch):
     """Guards against waiting prompts of 79 routers all sent to the first runner that got free."""
     lines = []
-    monkeypatch.setattr(trail, "log_trouble", lambda event, **fields: lines.append((event, fields)))
+    monkeypatch.setattr(
+        request_trace, "log_warning", lambda event, **fields: lines.append((event, fields))
+    )
     busy = [state("i-0")]
     busy[0].reading_elsewhere = 60_000
     case = ForwardingCase([GOOD], states=busy, model="m", tokens_per_s=40_000)
@@ -314,7 +320,7 @@
     reader.on_body(b"id: 1\ndata: x\n\n")
     case.loop.time += 5.0
     reader.on_body(b"id: 2\ndata: x\n\n")
-    speed = case.world.guard("s").speed
+    speed = case.services.overload_guard("s").speed
     assert speed.samples == 1
     assert speed.tokens / speed.seconds == pytest.approx(4_110 / 0.25)
 
@@ -327,9 +333,11 @@
     """Return a setup that records crashes of earlier runner instances under the request."""
 
     def record_crashes(case):
-        request_fingerprint = fingerprint(case.exchange.request, case.forwarding.admitted)
+        request_fingerprint = fingerprint(case.exchange.request, case.forwarder.admitted)
         for number in range(crashes):
-            case.world.suspects.table.note_ended(request_fingerprint, f"gone-{number}", case.loop.now())
+            case.services.suspects.table.note_ended(
+                request_fingerprint, f"gone-{number}", case.loop.now()
+            )
         if runner_crashes:
             case.probes.refused.add(case.states[0].runner.address)
 
@@ -346,7 +354,9 @@
 
 def test_a_request_that_crashes_a_third_runner_is_not_sent_to_a_fourth():
     thrice = route(maximum_attempts=3)
-    case = ForwardingCase([LOST_RESPONSE, GOOD], custom_route=thrice, setup=with_crash_records(2, True)).run(0.1)
+    case = ForwardingCase(
+        [LOST_RESPONSE, GOOD], custom_route=thrice, setup=with_crash_records(2, True)
+    ).run(0.1)
     assert len(case.pool.sent) == 1
     assert case.exchange.responses[0][0] == 502
 
@@ -358,9 +368,9 @@
 
 def test_a_complete_run_clears_the_crash_records_of_a_request():
     case = ForwardingCase([GOOD], setup=with_crash_records(2)).run(0.1)
-    request_fingerprint = fingerprint(case.exchange.request, case.forwarding.admitted)
+    request_fingerprint = fingerprint(case.exchange.request, case.forwarder.admitted)
     assert case.outcomes == ["served"]
-    assert case.world.suspects.table.starts(request_fingerprint) == 0
+    assert case.services.suspects.table.starts(request_fingerprint) == 0
 
 
 def test_all_routers_send_a_suspect_request_to_the_same_runner():
@@ -370,14 +380,16 @@
         states = [state(f"i-{n}") for n in range(3)]
         for each, in_flight in zip(states, load, strict=True):
             each.elsewhere = in_flight
-        chosen.update(ForwardingCase([GOOD], states=states, setup=with_crash_records(1)).run(0.1).pool.sent)
+        chosen.update(
+            ForwardingCase([GOOD], states=states, setup=with_crash_records(1)).run(0.1).pool.sent
+        )
     assert len(chosen) == 1
 
 
 def test_a_runner_restart_during_a_request_is_recorded_as_its_crash():
     case = ForwardingCase(states=[state("i-0~1", name="i-0")])
-    case.world.runners.put(case.states[0].runner)
-    case.world.runners.put(state("i-0~2", name="i-0").runner)
-    case.forwarding.leave_ended_runner()
-    request_fingerprint = fingerprint(case.exchange.request, case.forwarding.admitted)
-    assert case.world.suspects.table.starts(request_fingerprint) == 1
+    case.services.runners.put(case.states[0].runner)
+    case.services.runners.put(state("i-0~2", name="i-0").runner)
+    case.forwarder.move_off_replaced_runner()
+    request_fingerprint = fingerprint(case.exchange.request, case.forwarder.admitted)
+    assert case.services.suspects.table.starts(request_fingerprint) == 1
--- a/tests/router/test_knowledge.py
+++ b/tests/router/test_knowledge.py
@@ -8,7 +8,7 @@
     RunnerDirectory,
     WeightsKnowledge,
 )
-from martenrun.router.messages import WantedWeights
+from martenrun.router.messages import TargetWeights
 
 from .builders import configuration, runner
 
@@ -63,14 +63,14 @@
 def test_named_weights_never_go_back(versions):
     weights = WeightsKnowledge()
     for at, version in enumerate(versions):
-        weights.take(WantedWeights("m", version), float(at))
+        weights.take(TargetWeights("m", version), float(at))
     assert weights.wanted["m"].version == max(versions)
 
 
 def test_each_version_counts_from_its_own_time():
     weights = WeightsKnowledge()
-    weights.take(WantedWeights("m", 2), 0.0)
-    weights.take(WantedWeights("m", 3), 5.0)
+    weights.take(TargetWeights("m", 2), 0.0)
+    weights.take(TargetWeights("m", 3), 5.0)
     assert weights.oldest_allowed("m", 8.0, 7.0) == 0
     assert weights.oldest_allowed("m", 8.0, 9.0) == 2
     assert weights.oldest_allowed("m", 8.0, 14.0) == 3
@@ -78,9 +78,9 @@
 
 def test_a_restarted_router_learns_the_age_of_versions_from_others():
     old = WeightsKnowledge()
-    old.take(WantedWeights("m", 2), 0.0)
+    old.take(TargetWeights("m", 2), 0.0)
     restarted = WeightsKnowledge()
-    restarted.take(WantedWeights("m", 2), 1000.0)
+    restarted.take(TargetWeights("m", 2), 1000.0)
     restarted.learn_ages(old.ages_ms(7.0), 1000.5)
     assert restarted.oldest_allowed("m", 8.0, 1001.0) == 0
     assert restarted.oldest_allowed("m", 8.0, 1002.0) == 2
--- a/tests/router/test_platform_adapter.py
+++ b/tests/router/test_platform_adapter.py
@@ -242,17 +242,17 @@
     route = configuration.routes[0]
     assert (route.kind, route.host, route.may_repeat) == (RouteKind.STREAM, "a.example", True)
     assert [part.service for part in route.split] == ["s", "u"]
-    assert configuration.services["s"].engine.cache_tokens == 9
+    assert configuration.services["s"].engine.kv_cache_tokens == 9
     assert configuration.stores[0].address == "1.2.3.4:5"
     assert configuration.tenants_by_key[b"b"].is_isolated
     assert configuration.limits.idle_timeout_s == 0.5
 
 
 def test_answers_of_runners_are_told_apart():
-    assert DIALECT.read_marks(503, [(b"X-Not-Executed", b"1")]).is_not_executed
-    assert DIALECT.read_marks(421, []).is_not_executed
-    assert not DIALECT.read_marks(503, []).is_not_executed
-    assert DIALECT.read_marks(200, [(b"x-response-stamp", b"1")]).is_signed
+    assert DIALECT.read_response_metadata(503, [(b"X-Not-Executed", b"1")]).is_not_executed
+    assert DIALECT.read_response_metadata(421, []).is_not_executed
+    assert not DIALECT.read_response_metadata(503, []).is_not_executed
+    assert DIALECT.read_response_metadata(200, [(b"x-response-stamp", b"1")]).is_signed
     assert DIALECT.read_order_outcome(412) is OrderOutcome.FENCED
     assert DIALECT.read_order_outcome(400) is OrderOutcome.REFUSED
 
@@ -279,9 +279,9 @@
 )
 def test_advertised_rate_limit_is_parsed(values, requests_per_s):
     headers = [(b"Server-Limit", value) for value in values]
-    limit = DIALECT.read_marks(200, headers).rate_limit
+    limit = DIALECT.read_response_metadata(200, headers).rate_limit
     assert limit is not None and limit.requests_per_s == requests_per_s and len(limit.text) <= 40
 
 
 def test_answer_without_limit_field_has_no_rate_limit():
-    assert DIALECT.read_marks(200, [(b"X-Response-Stamp", b"s")]).rate_limit is None
+    assert DIALECT.read_response_metadata(200, [(b"X-Response-Stamp", b"s")]).rate_limit is None
--- a/tests/router/test_request_quota.py
+++ b/tests/router/test_request_quota.py
@@ -5,7 +5,7 @@
 
 from martenrun.net.http import HttpRequest
 from martenrun.platform import DIALECT
-from martenrun.router.forwarding import Forwarding
+from martenrun.router.forwarding import RequestForwarder
 from martenrun.router.messages import Tenant
 from martenrun.router.overload import OverloadGuard
 from martenrun.router.quotas.gate import Grant
@@ -13,7 +13,7 @@
 from martenrun.router.quotas.messages import QuotaUse, VersionedLimit
 
 from .builders import route
-from .test_forwarding import FULL, GOOD, Played
+from .test_forwarding import FULL, GOOD, ForwardingCase
 
 LIMIT = RateLimit(1_000.0, 1_000.0, True, 200)
 TENANT = Tenant("growers", 1, False, LIMIT)
@@ -66,12 +66,14 @@
     def limit(played):
         gate = ScriptedGate(played.loop, verdicts, after_s)
         gates.append(gate)
-        played.world.quotas = gate
-        call = attrs.evolve(played.forwarding.admitted.call, counted_tokens=1_130)
-        admitted = attrs.evolve(played.forwarding.admitted, call=call, tenant=TENANT)
-        played.forwarding = Forwarding(played.world, played.exchange, admitted, lambda _f: None)
-
-    played = Played(script, before=limit, **more)
+        played.services.quotas = gate
+        call = attrs.evolve(played.forwarder.admitted.call, counted_tokens=1_130)
+        admitted = attrs.evolve(played.forwarder.admitted, call=call, tenant=TENANT)
+        played.forwarder = RequestForwarder(
+            played.services, played.exchange, admitted, lambda _f: None
+        )
+
+    played = ForwardingCase(script, setup=limit, **more)
     played.gate = gates[0]
     return played
 
@@ -79,19 +81,19 @@
 def test_a_request_counts_its_prompt_and_longest_answer():
     played = play([YES], [GOOD]).run(0.1)
     assert played.gate.asked == [("growers", 1_130)]
-    assert played.exchange.answers[0][0] == 200 and played.gate.given_back == []
+    assert played.exchange.responses[0][0] == 200 and played.gate.given_back == []
 
 
 def test_what_is_over_the_limit_gets_429_at_once_and_reaches_no_runner():
     played = play([OVER])
-    status, headers, _ = played.exchange.answers[0]
+    status, headers, _ = played.exchange.responses[0]
     assert (status, float(headers[b"Retry-After"])) == (429, 2.5)
     assert played.pool.sent == [] and played.gate.given_back == []
 
 
 def test_a_router_that_sees_few_others_does_not_say_that_a_tenant_is_over_its_limit():
     played = play([UNSURE])
-    status, headers, _ = played.exchange.answers[0]
+    status, headers, _ = played.exchange.responses[0]
     assert status == 503 and float(headers[b"Retry-After"]) < 1.0
 
 
@@ -119,30 +121,30 @@
 
 def test_a_request_that_no_runner_ran_gives_its_units_back():
     played = play([YES], [FULL] * 9).run(1.0)
-    assert played.exchange.answers[0][0] == 503
+    assert played.exchange.responses[0][0] == 503
     assert len(played.gate.asked) == 1 and played.gate.given_back == [1_130]
 
 
 def test_a_further_run_is_asked_for_again():
     played = play([YES, YES], [FAILED, GOOD], after_s=0.002).run(0.2)
     assert len(played.gate.asked) == 2 and len(played.pool.sent) == 2
-    assert played.exchange.answers[0][0] == 200 and played.gate.given_back == []
+    assert played.exchange.responses[0][0] == 200 and played.gate.given_back == []
 
 
 def test_a_further_run_that_is_over_the_limit_is_not_sent():
     played = play([YES, OVER], [FAILED, GOOD]).run(0.2)
     assert len(played.pool.sent) == 1
-    assert played.exchange.answers[0][0] == 500
+    assert played.exchange.responses[0][0] == 500
 
 
 def test_a_run_whose_outcome_is_unknown_is_never_called_not_run():
-    played = play([YES, OVER], [None, GOOD], the_route=route(maximum_attempts=3)).run(0.2)
-    assert played.exchange.answers[0][0] == 502
+    played = play([YES, OVER], [None, GOOD], custom_route=route(maximum_attempts=3)).run(0.2)
+    assert played.exchange.responses[0][0] == 502
 
 
 def test_a_tenant_without_a_limit_asks_nobody():
-    played = Played([GOOD]).run(0.1)
-    assert played.exchange.answers[0][0] == 200
+    played = ForwardingCase([GOOD]).run(0.1)
+    assert played.exchange.responses[0][0] == 200
 
 
 # What the platform tells
--- a/tests/router/test_route_table.py
+++ b/tests/router/test_route_table.py
@@ -3,7 +3,7 @@
 import collections
 
 from martenrun.router.messages import Call, WeightedService
-from martenrun.router.route_table import RouteTable, SplitCounter
+from martenrun.router.route_table import RouteTable, TrafficSplitter
 
 from .builders import configuration, route
 
@@ -31,7 +31,7 @@
 
 def test_a_split_gives_each_service_its_share_in_any_interval():
     parts = (WeightedService("x", 90), WeightedService("y", 10))
-    splitter = SplitCounter()
+    splitter = TrafficSplitter()
     chosen = [splitter.next_service(route(split=parts)) for _ in range(200)]
     assert collections.Counter(chosen) == {"x": 180, "y": 20}
     assert collections.Counter(chosen[:10]) == {"x": 9, "y": 1}
--- a/tests/router/test_router_checkers.py
+++ b/tests/router/test_router_checkers.py
@@ -55,11 +55,15 @@
 
 
 def test_a_payment_that_ran_twice_is_found():
-    assert violated_checks(runs=[*CLEAN.runs, RunRecord("p1", "i2", 11.0, "growers")]) == {"at most once"}
+    assert violated_checks(runs=[*CLEAN.runs, RunRecord("p1", "i2", 11.0, "growers")]) == {
+        "at most once"
+    }
 
 
 def test_a_refused_payment_that_ran_is_found():
-    assert violated_checks(runs=[*CLEAN.runs, RunRecord("p2", "i2", 11.0, "growers")]) == {"refused"}
+    assert violated_checks(runs=[*CLEAN.runs, RunRecord("p2", "i2", 11.0, "growers")]) == {
+        "refused"
+    }
 
 
 def test_a_swapped_response_and_a_stream_with_a_gap_are_found():
@@ -87,8 +91,12 @@
 
 
 def test_a_shared_and_a_decreasing_fencing_token_are_found():
-    assert violated_checks(orders=[*CLEAN.orders, OrderRecord("i2", "h3", 2, 9.5)]) == {"one holder"}
-    assert violated_checks(orders=[*CLEAN.orders, OrderRecord("i1", "h1", 1, 9.5)]) == {"one holder"}
+    assert violated_checks(orders=[*CLEAN.orders, OrderRecord("i2", "h3", 2, 9.5)]) == {
+        "one holder"
+    }
+    assert violated_checks(orders=[*CLEAN.orders, OrderRecord("i1", "h1", 1, 9.5)]) == {
+        "one holder"
+    }
 
 
 def test_a_reissued_key_may_be_used():
@@ -102,7 +110,9 @@
     calls = [attrs.evolve(call, router="r1") for call in CLEAN.calls]
     runs = [*CLEAN.runs, RunRecord("a1", "i3", 6.5, "growers")]
     assert violated_checks(calls=calls, runs=runs, troubles=[Trouble("r1", 5.0, 6.0)]) == set()
-    assert violated_checks(calls=calls, runs=runs, troubles=[Trouble("r2", 5.0, 6.0)]) == {"leaving"}
+    assert violated_checks(calls=calls, runs=runs, troubles=[Trouble("r2", 5.0, 6.0)]) == {
+        "leaving"
+    }
 
 
 ROUTER_LIVES = [
@@ -113,7 +123,9 @@
 
 
 def directory_violations(addresses, asked_at, **changes):
-    return violated_checks(lives=ROUTER_LIVES, directory=[DirectoryAnswer("r1", asked_at, addresses)], **changes)
+    return violated_checks(
+        lives=ROUTER_LIVES, directory=[DirectoryAnswer("r1", asked_at, addresses)], **changes
+    )
 
 
 def test_a_directory_with_stopped_stopping_or_unknown_routers_is_found():
@@ -133,7 +145,10 @@
     tries = [ConnectionTry("r1", 10.0 + n * 0.5, True, False) for n in range(8)]
     assert violated_checks(tries=tries) == {"connections"}
     assert violated_checks(tries=tries[:6]) == set()
-    assert violated_checks(tries=[*tries[:4], ConnectionTry("r1", 11.9, True, True), *tries[4:]]) == set()
+    assert (
+        violated_checks(tries=[*tries[:4], ConnectionTry("r1", 11.9, True, True), *tries[4:]])
+        == set()
+    )
     assert violated_checks(tries=[attrs.evolve(item, is_ready=False) for item in tries]) == set()
 
 
--- a/tests/router/test_runner_access.py
+++ b/tests/router/test_runner_access.py
@@ -8,7 +8,7 @@
 from martenrun.router.retry_turns import JITTER_SHARE, MAXIMUM_DELAY_S, RetryTurns
 
 from .builders import route, state
-from .test_forwarding import FULL, GOOD, Played
+from .test_forwarding import FULL, GOOD, ForwardingCase
 
 LIMITED_ANSWER = (200, [(b"X-Response-Stamp", b"s"), (b"Server-Limit", b"1")], b"ok")
 WAIT_S = 1.5
@@ -57,10 +57,10 @@
 
 def limit_runners(played, *instances, left=0, **more):
     """Apply rate limits to runners and install a gate with ``left`` grants."""
-    played.world.quotas = FakeGate(played.loop, left, **more)
+    played.services.quotas = FakeGate(played.loop, left, **more)
     for instance in instances:
         limit = AdvertisedLimit(1.0, "1")
-        played.world.runner_limits.note_advertised(instance, limit, played.loop.now())
+        played.services.runner_limits.note_advertised(instance, limit, played.loop.now())
 
 
 def play(script=(GOOD,) * 4, limited=("i-0", "i-1", "i-2"), left=0, gate=None, **more):
@@ -69,29 +69,29 @@
     def before(played):
         limit_runners(played, *limited, left=left, **(gate or {}))
 
-    return Played(script, before=before, **more)
+    return ForwardingCase(script, setup=before, **more)
 
 
 def refusal(played):
-    status, headers, _ = played.exchange.answers[0]
+    status, headers, _ = played.exchange.responses[0]
     return status, float(headers[b"Retry-After"])
 
 
 def test_request_waits_for_its_grant():
     played = play(left=1).run(0.1)
-    assert played.pool.sent == [played.world.quotas.asked[0].rpartition("\x00")[2]]
-    assert played.exchange.answers[0][0] == 200 and played.world.quotas.given_back == 0
+    assert played.pool.sent == [played.services.quotas.asked[0].rpartition("\x00")[2]]
+    assert played.exchange.responses[0][0] == 200 and played.services.quotas.given_back == 0
 
 
 def test_request_without_a_grant_goes_to_another_runner():
     played = play(limited=("i-0", "i-1")).run(0.1)
-    assert played.pool.sent == ["i-2"] and played.exchange.answers[0][0] == 200
+    assert played.pool.sent == ["i-2"] and played.exchange.responses[0][0] == 200
 
 
 def test_request_is_refused_at_once_if_all_runners_are_exhausted():
     """Guards against holding a request until the caller can no longer be served elsewhere."""
     played = play().run(0.02)
-    assert played.pool.sent == [] and len(played.world.quotas.asked) == 3
+    assert played.pool.sent == [] and len(played.services.quotas.asked) == 3
     status, retry_after = refusal(played)
     assert status == 503 and WAIT_S - 0.1 <= retry_after <= WAIT_S + JITTER_SHARE * MAXIMUM_DELAY_S
 
@@ -101,10 +101,10 @@
     limit = AdvertisedLimit(1.0, "1")
 
     def before(played):
-        played.world.runner_limits.note_advertised("i-0", limit, played.loop.now())
+        played.services.runner_limits.note_advertised("i-0", limit, played.loop.now())
 
-    played = Played([GOOD], before=before, states=[state("i-0")]).run(0.1)
-    assert played.pool.sent == ["i-0"] and played.exchange.answers[0][0] == 200
+    played = ForwardingCase([GOOD], setup=before, states=[state("i-0")]).run(0.1)
+    assert played.pool.sent == ["i-0"] and played.exchange.responses[0][0] == 200
 
 
 def test_runner_is_skipped_until_its_grant_wait_has_passed():
@@ -121,15 +121,15 @@
         return [state("i-0"), state("i-1", zone="z9")]
 
     played = play([failed, GOOD], limited=("i-1",), states=states()).run(0.1)
-    assert played.pool.sent == ["i-0"] and played.exchange.answers[0][0] == 500
+    assert played.pool.sent == ["i-0"] and played.exchange.responses[0][0] == 500
     played = play([failed, GOOD], limited=("i-1",), left=1, states=states()).run(0.1)
-    assert played.pool.sent == ["i-0", "i-1"] and played.exchange.answers[0][0] == 200
+    assert played.pool.sent == ["i-0", "i-1"] and played.exchange.responses[0][0] == 200
 
 
 def test_send_refused_by_the_runner_consumes_its_grant():
     """Guards against repeated sends to a full runner that bypass its limit."""
     played = play([FULL] * 9, left=2).run(0.1)
-    assert len(played.pool.sent) == 2 and played.world.quotas.given_back == 0
+    assert len(played.pool.sent) == 2 and played.services.quotas.given_back == 0
 
 
 def test_limit_learned_while_connecting_is_enforced():
@@ -137,12 +137,12 @@
 
     def before(played):
         played.pool.send = lambda chosen, *_: sends.append((chosen, _[1]))
-        played.world.quotas = FakeGate(played.loop)
+        played.services.quotas = FakeGate(played.loop)
 
     sends = []
-    played = Played(before=before, states=[state("i-0")])
+    played = ForwardingCase(setup=before, states=[state("i-0")])
     limit = AdvertisedLimit(1.0, "1")
-    played.world.runner_limits.note_advertised("i-0", limit, played.loop.now())
+    played.services.runner_limits.note_advertised("i-0", limit, played.loop.now())
     sends[0][1].on_sent()
     assert not sends[0][1].was_sent
     played.run(0.1)
@@ -154,7 +154,7 @@
     played = play(left=1)
     played.exchange.on_gone()
     played.run(0.1)
-    assert played.pool.sent == [] and played.world.quotas.given_back == 1
+    assert played.pool.sent == [] and played.services.quotas.given_back == 1
     assert not any(item.is_grant_pending for item in played.states)
 
 
@@ -162,7 +162,7 @@
     """Guards against using a stale grant after the process was paused."""
     played = play(left=1, limited=("i-0",), states=[state("i-0")], gate={"delay_s": 0.8})
     played.run(1.0)
-    assert played.pool.sent == [] and played.world.quotas.given_back == 1
+    assert played.pool.sent == [] and played.services.quotas.given_back == 1
 
 
 def test_router_without_account_owners_sends_a_probe():
@@ -172,7 +172,9 @@
 
     for is_probe_due in (False, True):
         states = [state("i-0")]
-        played = Played([GOOD], before=before, states=states, the_route=route(timeout_s=90.0))
+        played = ForwardingCase(
+            [GOOD], setup=before, states=states, custom_route=route(timeout_s=90.0)
+        )
         played.run(0.02)
         assert played.pool.sent == ["i-0"] * is_probe_due
 
@@ -182,34 +184,34 @@
 
     def before(played):
         limit_runners(played, "i-0", left=1)
-        table = played.world.configuration.table
+        table = played.services.configuration.table
         table.is_most_urgent = lambda _route, _service: False
-        played.world.guard("s").note_urgent_refused(played.loop.now())
+        played.services.overload_guard("s").note_urgent_refused(played.loop.now())
 
-    played = Played([GOOD], before=before, states=[state("i-0")]).run(0.1)
+    played = ForwardingCase([GOOD], setup=before, states=[state("i-0")]).run(0.1)
     assert played.pool.sent == [] and refusal(played)[0] == 503
 
 
 @pytest.mark.parametrize("kind", [RouteKind.SAFE, RouteKind.STREAM])
 def test_limit_applies_from_the_head_of_the_answer(kind):
-    played = Played(the_route=route(kind=kind), states=[state("i-0")])
+    played = ForwardingCase(custom_route=route(kind=kind), states=[state("i-0")])
     played.pool.readers[0].on_head(200, LIMITED_ANSWER[1], None)
-    assert played.world.runner_limits.limit("i-0").requests_per_s == 1.0
+    assert played.services.runner_limits.limit("i-0").requests_per_s == 1.0
 
 
 @pytest.mark.parametrize("status", [500, 503, 421])
 def test_limit_of_an_error_answer_applies(status):
     headers = [(b"X-Not-Executed", b"1"), (b"Server-Limit", b"2")]
-    played = Played(states=[state("i-0")])
+    played = ForwardingCase(states=[state("i-0")])
     played.pool.readers[0].on_head(status, headers, 0)
-    assert played.world.runner_limits.limit("i-0").requests_per_s == 2.0
+    assert played.services.runner_limits.limit("i-0").requests_per_s == 2.0
 
 
 def test_limit_of_another_instance_at_the_address_is_ignored():
     headers = [(b"X-Instance-Id", b"i-9"), (b"Server-Limit", b"2")]
-    played = Played(states=[state("i-0")])
+    played = ForwardingCase(states=[state("i-0")])
     played.pool.readers[0].on_head(421, headers, 0)
-    assert played.world.runner_limits.limit("i-0") is None
+    assert played.services.runner_limits.limit("i-0") is None
 
 
 def test_retry_delays_of_refused_callers_are_spread():
--- a/tests/router/test_runner_lives.py
+++ b/tests/router/test_runner_lives.py
@@ -15,7 +15,7 @@
 from .builders import route, state
 from .fakes import FakeLoop
 from .test_broken_entries import GOOD
-from .test_forwarding import FULL, Played
+from .test_forwarding import FULL, ForwardingCase
 from .test_forwarding import GOOD as GOOD_ANSWER
 
 BORN = 1_774_121_905_851
@@ -98,33 +98,35 @@
 
 def test_a_request_at_a_runner_that_started_again_goes_on_elsewhere_at_once():
     """The connection may stay silent for long where the runner crashed behind a cut."""
-    played = Played(states=[state("i-0~1", name="i-0")])
-    played.world.runners.put(played.states[0].runner)
+    played = ForwardingCase(states=[state("i-0~1", name="i-0")])
+    played.services.runners.put(played.states[0].runner)
     assert played.pool.sent == ["i-0~1"]
     played.states[:] = [state("i-0~2", name="i-0")]
-    played.world.runners.put(played.states[0].runner)
+    played.services.runners.put(played.states[0].runner)
     played.pool.script = [GOOD_ANSWER]
-    played.forwarding.leave_ended_runner()
+    played.forwarder.move_off_replaced_runner()
     played.run(0.1)
     assert played.pool.sent == ["i-0~1", "i-0~2"]
-    assert played.exchange.answers[0][0] == 200
+    assert played.exchange.responses[0][0] == 200
 
 
 def test_a_request_that_must_not_run_twice_is_not_sent_again_there():
 
-    played = Played(states=[state("i-0~1", name="i-0")], the_route=route(kind=RouteKind.UNSAFE))
-    played.world.runners.put(played.states[0].runner)
+    played = ForwardingCase(
+        states=[state("i-0~1", name="i-0")], custom_route=route(kind=RouteKind.UNSAFE)
+    )
+    played.services.runners.put(played.states[0].runner)
     played.states[:] = [state("i-0~2", name="i-0")]
-    played.world.runners.put(played.states[0].runner)
-    played.forwarding.leave_ended_runner()
+    played.services.runners.put(played.states[0].runner)
+    played.forwarder.move_off_replaced_runner()
     played.run(0.1)
     assert played.pool.sent == ["i-0~1"]
-    assert played.exchange.answers[0][0] == 502
+    assert played.exchange.responses[0][0] == 502
 
 
 def test_a_runner_that_is_only_full_is_not_taken_for_one_that_ended():
-    played = Played([FULL], states=[state("i-0~1", name="i-0")])
-    played.world.runners.put(played.states[0].runner)
-    played.forwarding.leave_ended_runner()
+    played = ForwardingCase([FULL], states=[state("i-0~1", name="i-0")])
+    played.services.runners.put(played.states[0].runner)
+    played.forwarder.move_off_replaced_runner()
     played.run(0.001)
     assert played.pool.sent == ["i-0~1"]
--- a/tests/router/test_runner_pool.py
+++ b/tests/router/test_runner_pool.py
@@ -4,9 +4,9 @@
 
 from martenrun.router import runner_pool
 from martenrun.router.runner_pool import (
-    FORGETFUL_S,
-    SAFE_REST_S,
-    SUSPECT_REST_S,
+    SAFE_IDLE_LIMIT_S,
+    STALE_MEMORY_S,
+    SUSPECT_IDLE_LIMIT_S,
     RunnerPool,
 )
 
@@ -56,10 +56,10 @@
 def test_an_unrepeatable_request_reuses_only_recently_used_connections(pool):
     first = send(pool)
     first.release()
-    pool._loop.time += SAFE_REST_S - 0.1
+    pool._loop.time += SAFE_IDLE_LIMIT_S - 0.1
     assert send(pool) is first
     first.release()
-    pool._loop.time += SAFE_REST_S + 0.1
+    pool._loop.time += SAFE_IDLE_LIMIT_S + 0.1
     assert send(pool) is not first
     assert send(pool, may_repeat=True) is first
 
@@ -67,22 +67,22 @@
 def test_a_stale_connection_lowers_the_idle_limit_for_a_while(pool):
     first = send(pool)
     first.release()
-    pool.note_broken(send(pool, may_repeat=True))
+    pool.record_broken_connection(send(pool, may_repeat=True))
     first.release()
-    pool._loop.time += SUSPECT_REST_S + 0.1
+    pool._loop.time += SUSPECT_IDLE_LIMIT_S + 0.1
     assert send(pool) is not first
-    pool._loop.time += FORGETFUL_S
+    pool._loop.time += STALE_MEMORY_S
     again = send(pool, may_repeat=True)
     again.release()
-    pool._loop.time += SAFE_REST_S - 0.1
+    pool._loop.time += SAFE_IDLE_LIMIT_S - 0.1
     assert send(pool) is again
 
 
 def test_a_broken_new_connection_does_not_lower_the_idle_limit(pool):
-    pool.note_broken(send(pool))
+    pool.record_broken_connection(send(pool))
     second = send(pool)
     second.release()
-    pool._loop.time += SAFE_REST_S - 0.1
+    pool._loop.time += SAFE_IDLE_LIMIT_S - 0.1
     assert send(pool) is second
 
 
--- a/tests/router/test_start_signals.py
+++ b/tests/router/test_start_signals.py
@@ -42,10 +42,14 @@
     # Without a settings file a router that is not terminated by the signal exits by itself.
     settings = tmp_path / "missing.toml"
     terminated = {
-        delay_ms: sum(is_terminated_by(signal.SIGHUP, delay_ms, settings) for _ in range(STARTS_PER_DELAY))
+        delay_ms: sum(
+            is_terminated_by(signal.SIGHUP, delay_ms, settings) for _ in range(STARTS_PER_DELAY)
+        )
         for delay_ms in DELAYS_MS
     }
-    assert not any(terminated.values()), f"terminated, of {STARTS_PER_DELAY}, by delay in ms: {terminated}"
+    assert not any(terminated.values()), (
+        f"terminated, of {STARTS_PER_DELAY}, by delay in ms: {terminated}"
+    )
 
 
 FIRST_IMPORT = """
--- a/tests/router/test_suspects.py
+++ b/tests/router/test_suspects.py
@@ -135,7 +135,7 @@
         self.store = FakeStore(self.loop)
         self.known = suspects(self.loop)
         self.copy = DatasetCopy(
-            Dataset.BLAME, CopyListener(self._put, lambda _name: None, lambda: None)
+            Dataset.CRASH_RECORDS, CopyListener(self._put, lambda _name: None, lambda: None)
         )
         self.reads = True
         self.writer = BlameStore(
@@ -144,7 +144,7 @@
         self._check()
 
     def _put(self, stored):
-        self.known.take_stored(DIALECT.read_blame(stored))
+        self.known.take_stored(DIALECT.read_crash_records(stored))
 
     def _check(self):
         held = self.store.objects.get("main")
@@ -166,7 +166,7 @@
     assert len(kept.store.writes) == 1
     started = suspects(kept.loop)
     spec = kept.store.objects["main"]["spec"]
-    started.take_stored(DIALECT.read_blame(StoredObject("main", 1, spec)))
+    started.take_stored(DIALECT.read_crash_records(StoredObject("main", 1, spec)))
     assert started.table.starts(RUN) == 1
 
 
@@ -185,7 +185,9 @@
     theirs.table.note_ended(other, "i-9", kept.loop.now())
     kept.known.table.note_ended(RUN, "i-1", kept.loop.now())
     call = DIALECT.create_object(
-        Dataset.BLAME, "main", DIALECT.blame_spec(theirs.table.records(kept.loop.now()))
+        Dataset.CRASH_RECORDS,
+        "main",
+        DIALECT.crash_records_spec(theirs.table.records(kept.loop.now())),
     )
     kept.store.call(call, 1.0, lambda _answer: None)
     kept.run(5.0)
@@ -226,7 +228,7 @@
 )
 def test_what_another_writer_puts_there_is_unreadable(content):
     with pytest.raises(UnreadableError):
-        DIALECT.read_blame(StoredObject("main", 1, content))
+        DIALECT.read_crash_records(StoredObject("main", 1, content))
 
 
 def test_news_is_a_datagram():
--- a/tests/router/test_suspension.py
+++ b/tests/router/test_suspension.py
@@ -16,7 +16,7 @@
 from .builders import bounds, configuration, route, runner
 from .fakes import FakeLoop, FakeStore
 from .loopback import Peer, free_address, serve_until
-from .test_forwarding import GOOD, Played
+from .test_forwarding import GOOD, ForwardingCase
 
 SUSPENDED_S = 4.0
 
@@ -76,7 +76,7 @@
 
     entry.idle.append(Kept())
     suspend()
-    assert pool._rested(entry, True) is None
+    assert pool._take_idle_connection(entry, True) is None
 
 
 def test_a_lease_that_ended_meanwhile_is_not_held():
@@ -116,15 +116,15 @@
 
 
 def test_a_request_that_waited_for_a_runner_is_not_sent_after_its_deadline():
-    played = Played([GOOD], states=[], the_route=route(timeout_s=3.0, objective_s=9.0))
+    played = ForwardingCase([GOOD], states=[], custom_route=route(timeout_s=3.0, objective_s=9.0))
     played.loop.time += SUSPENDED_S
-    played.pool._states.extend(Played().states)
-    played.forwarding._look_for_runner()
-    assert played.pool.sent == [] and played.ends == ["refused"]
+    played.pool._states.extend(ForwardingCase().states)
+    played.forwarder._choose_runner()
+    assert played.pool.sent == [] and played.outcomes == ["refused"]
 
 
 def test_a_request_whose_connection_came_up_after_a_suspension_is_not_sent_with_its_old_deadline():
-    played = Played()
+    played = ForwardingCase()
     attempt = played.pool.readers[0]
     attempt.was_sent = False
     played.loop.time += CONNECT_TIMEOUT_S + SUSPENDED_S / 4
--- a/tests/router/unguarded_router.py
+++ b/tests/router/unguarded_router.py
@@ -71,9 +71,9 @@
 
 def ignore_caller_disconnects():
     """Ignore callers that disconnect."""
-    from martenrun.router.forwarding import Forwarding
+    from martenrun.router.forwarding import RequestForwarder
 
-    Forwarding._on_gone = lambda self: None
+    RequestForwarder._on_caller_disconnected = lambda self: None
 
 
 def terminate_on_sighup():
