--- a/src/martenrun/platform/__init__.py
+++ b/src/martenrun/platform/__init__.py
@@ -1,18 +1,18 @@
 """Adapter of the platform: translates its names, formats and calls, and makes no decisions."""
 
 from martenrun.platform import endpoints, headers, objects, orders, settings, specs
-from martenrun.router.dialect import Dialect, SettingsSource
+from martenrun.router.platform_adapter import PlatformAdapter, SettingsSource
 
 SETTINGS_VARIABLE = settings.SETTINGS_VARIABLE
 SETTINGS_SOURCE = SettingsSource(settings.load_settings, settings.settings_mtime_ns)
 """Source of a router's settings, read at its start and whenever they change."""
 
-PLATFORM_ADAPTER = Dialect(
+PLATFORM_ADAPTER = PlatformAdapter(
     read_call=headers.read_call,
     runner_headers=headers.runner_headers,
     request_id_field=headers.REQUEST_ID,
-    read_marks=headers.read_response_metadata,
-    answering_instance=headers.responding_instance,
+    read_response_metadata=headers.read_response_metadata,
+    responding_instance=headers.responding_instance,
     list_objects=objects.list_objects,
     watch_objects=objects.watch_objects,
     read_object=objects.read_object,
@@ -26,16 +26,16 @@
     read_weights=specs.read_weights,
     read_lease=specs.read_lease,
     lease_spec=specs.lease_spec,
-    read_blame=specs.read_crash_records,
-    blame_spec=specs.crash_records_spec,
-    read_contacts=specs.read_peer_addresses,
-    contacts_spec=specs.peer_addresses_spec,
+    read_crash_records=specs.read_crash_records,
+    crash_records_spec=specs.crash_records_spec,
+    read_peer_addresses=specs.read_peer_addresses,
+    peer_addresses_spec=specs.peer_addresses_spec,
     order_weights=orders.order_weights,
     read_order_outcome=orders.read_order_outcome,
-    ask_report=orders.report_request,
+    report_request=orders.report_request,
     read_report=specs.read_report,
     directory_zone=endpoints.directory_zone,
-    directory_answer=endpoints.directory_response,
-    is_ready_question=endpoints.is_readiness_request,
+    directory_response=endpoints.directory_response,
+    is_readiness_request=endpoints.is_readiness_request,
 )
 """The functions through which the router uses the platform."""
--- a/src/martenrun/platform/objects.py
+++ b/src/martenrun/platform/objects.py
@@ -23,8 +23,8 @@
     Dataset.RUNNERS: "servers",
     Dataset.WEIGHTS: "versions",
     Dataset.LEASES: "router-leases",
-    Dataset.BLAME: "router-blame",
-    Dataset.CONTACTS: "router-contacts",
+    Dataset.CRASH_RECORDS: "router-blame",
+    Dataset.PEER_ADDRESSES: "router-contacts",
 }
 _ROOT_PATH = "/martenrun/objects/"
 _JSON_HEADERS = [(b"Content-Type", b"application/json")]
--- a/src/martenrun/router/admission.py
+++ b/src/martenrun/router/admission.py
@@ -3,11 +3,11 @@
 import attrs
 
 from martenrun.net.server import Exchange
-from martenrun.router.log import log_trouble
-from martenrun.router.messages import Admitted, Call
-from martenrun.router.route_table import RouteTable, SplitCounter
+from martenrun.router.log import log_warning
+from martenrun.router.messages import AdmittedRequest, Call
+from martenrun.router.request_services import RequestServices
+from martenrun.router.route_table import RouteTable, TrafficSplitter
 from martenrun.router.tuning import DEFAULTS
-from martenrun.router.world import World
 
 KEY_AGE_MARGIN_S = 0.3
 """Margin before the bound on revoked keys at which API keys count as too old, in seconds."""
@@ -37,19 +37,19 @@
     :mod:`martenrun.router.denials` checks refusals again after the configuration is read anew.
     """
 
-    def __init__(self, world: World) -> None:
+    def __init__(self, world: RequestServices) -> None:
         self._world = world
-        self._splits = SplitCounter()
+        self._splits = TrafficSplitter()
 
     def read_call(self, exchange: Exchange) -> Call | Refusal:
         """Parse a request; refuse a malformed one with 400."""
         try:
-            call = self._world.dialect.read_call(exchange.request)
+            call = self._world.adapter.read_call(exchange.request)
         except (ValueError, UnicodeError):
             return Refusal(400, "unreadable")
         return call if call.request_id else Refusal(400, "no_request_id")
 
-    def admit(self, exchange: Exchange, call: Call) -> Admitted | Refusal:
+    def admit(self, exchange: Exchange, call: Call) -> AdmittedRequest | Refusal:
         """Admit or refuse a request by the current configuration."""
         now = self._world.loop.now()
         table = self._world.configuration.table
@@ -70,7 +70,7 @@
         received_at = exchange.request.received_at
         deadline_s = DEFAULT_DEADLINE_S if call.deadline_s is None else call.deadline_s
         deadline_at = received_at + deadline_s
-        return Admitted(
+        return AdmittedRequest(
             call=call,
             route=route,
             tenant=tenant,
@@ -103,7 +103,7 @@
         else []
     )
     exchange.respond(refusal.status, headers)
-    log_trouble(
+    log_warning(
         "refused",
         request=None if call is None else call.request_id.decode("latin-1"),
         reason=refusal.reason,
--- a/src/martenrun/router/attempt.py
+++ b/src/martenrun/router/attempt.py
@@ -1,4 +1,4 @@
-"""One attempt of a request at one runner: what the runner answers, and what that teaches."""
+"""One attempt of a request at one runner, and the runner state learned from its response."""
 
 from typing import Protocol
 
@@ -7,17 +7,19 @@
 from martenrun.net.client import CONNECT_TIMEOUT_S, ClientConnection
 from martenrun.net.http import Headers
 from martenrun.router.event_stream import BrokenStreamError
-from martenrun.router.log import log_trouble
-from martenrun.router.messages import Admitted, AnswerMarks, RouteKind
+from martenrun.router.log import log_warning
+from martenrun.router.messages import AdmittedRequest, ResponseMetadata, RouteKind
+from martenrun.router.request_services import RequestServices
 from martenrun.router.retry import Failure
 from martenrun.router.runner_state import LOADING_TIMEOUT_S, RunnerState
-from martenrun.router.world import World
 
-FULL_MEMORY_S = 0.15
-"""How long a runner that had no room is passed over, in seconds."""
+FULL_RUNNER_BACKOFF_S = 0.15
+"""How long a runner that refused a request as full is not chosen, in seconds."""
 
-STOOD_STILL_S = 0.2
-"""How much longer than it may take a connection must have taken to come up, in seconds."""
+SUSPENSION_MARGIN_S = 0.2
+"""A connect that exceeds CONNECT_TIMEOUT_S by more than this many seconds means the process was
+suspended meanwhile.
+"""
 
 STATUS_MISDIRECTED = 421
 STATUS_SERVER_ERROR = 500
@@ -25,163 +27,162 @@
 
 @attrs.frozen
 class AttemptLoad:
-    """What a runner has to do for a request: tokens to read, and tokens of memory."""
+    """Load that a request puts on a runner: tokens to prefill and KV cache tokens."""
 
-    tokens_to_read: float
-    tokens_held: int
+    prefill_tokens: float
+    kv_cache_tokens: int
 
 
-class AttemptOwner(Protocol):
-    """What an attempt reports to."""
+class AttemptListener(Protocol):
+    """Callbacks for the events of an attempt."""
 
-    def on_answer_head(self, attempt: "Attempt") -> None:
-        """A stream has begun."""
+    def on_response_head(self, attempt: "Attempt") -> None:
+        """Handle the response head of a stream."""
 
     def on_stream_data(self, data: bytes) -> None:
-        """A part of a stream; raises BrokenStreamError if it is amiss."""
+        """Handle received stream bytes; raises BrokenStreamError if they are invalid."""
 
-    def on_stream_whole(self, attempt: "Attempt") -> None:
-        """A stream has ended whole."""
+    def on_stream_complete(self, attempt: "Attempt") -> None:
+        """Handle the regular end of a stream."""
 
-    def on_whole(self, attempt: "Attempt") -> None:
-        """A buffered answer is whole."""
+    def on_response_complete(self, attempt: "Attempt") -> None:
+        """Handle a complete buffered response."""
 
     def on_failure(self, failure: Failure, attempt: "Attempt") -> None:
-        """There is no answer that can be passed on."""
+        """Handle an attempt that failed without a usable response."""
 
 
 class Attempt:
     """One attempt of a request at one runner; see :class:`martenrun.net.client.ResponseReader`.
 
     Args:
-        world: everything that the router knows and uses.
-        admitted: the request.
-        owner: told how the attempt goes.
-        state: the runner.
-        load: what the runner has to read and to hold for it.
+        listener: receives the events of the attempt.
+        state: state of the runner.
+        load: load that the request adds to the runner.
         has_grant: whether the request may be sent even if the runner is rate-limited.
     """
 
     def __init__(
         self,
-        world: World,
-        admitted: Admitted,
-        owner: AttemptOwner,
+        services: RequestServices,
+        admitted: AdmittedRequest,
+        listener: AttemptListener,
         state: RunnerState,
         load: AttemptLoad,
         has_grant: bool = False,
     ) -> None:
-        self._world = world
+        self._services = services
         self._admitted = admitted
-        self._owner = owner
+        self._listener = listener
         self.state = state
-        self._to_read = load.tokens_to_read
-        self._held = load.tokens_held
+        self._prefill_tokens = load.prefill_tokens
+        self._kv_cache_tokens = load.kv_cache_tokens
         self._has_grant = has_grant
-        self.has_begun = False
-        self._began_at = world.loop.now()
-        self._tokens_ahead = state.backlog_tokens + load.tokens_to_read
-        state.pending_prefill_tokens += load.tokens_to_read
-        state.kv_cache_tokens += load.tokens_held
-        world.note_reading(state)
+        self.has_body_started = False
+        self._started_at = services.loop.now()
+        self._tokens_ahead = state.backlog_tokens + load.prefill_tokens
+        state.pending_prefill_tokens += load.prefill_tokens
+        state.kv_cache_tokens += load.kv_cache_tokens
+        services.on_prefill_changed(state)
         self.connection: ClientConnection | None = None
         self.was_sent = False
-        self.was_cut_off = False
+        self.was_interrupted = False
         self.status = 0
         self.headers: Headers = []
         self.body = bytearray()
         self.is_streamed = False
-        self._marks: AnswerMarks | None = None
+        self._metadata: ResponseMetadata | None = None
         self._is_over = False
 
     def on_sent(self) -> None:
-        """The request leaves, unless the machine stood still while its connection came up.
+        """Mark the request as sent, unless it must be withdrawn.
 
-        The deadline that it names was reckoned before that.
+        It fails if the process was suspended during the connect, because its deadline header was
+        computed before.
         """
-        if self._world.loop.now() - self._began_at > CONNECT_TIMEOUT_S + STOOD_STILL_S:
+        if self._services.loop.now() - self._started_at > CONNECT_TIMEOUT_S + SUSPENSION_MARGIN_S:
             self._fail(Failure.NOT_SENT)
             return
-        limits = self._world.runner_limits
+        limits = self._services.runner_limits
         if not self._has_grant and limits.limit(self.state.runner.instance) is not None:
-            # The limit was learned while connecting; this is not a failure of the runner.
+            # The limit was received while connecting; this is not a failure of the runner.
             limits.count("withheld")
             self.cancel()
-            self._owner.on_failure(Failure.NOT_SENT, self)
+            self._listener.on_failure(Failure.NOT_SENT, self)
             return
         self.was_sent = True
 
     def on_head(self, status: int, headers: Headers, length: int | None) -> None:
-        """An answer has begun; one that cannot be the runner's ends the attempt."""
-        now = self._world.loop.now()
+        """Process the response head; an encoded or unsigned response fails the attempt."""
+        now = self._services.loop.now()
         self.state.record_data(now)
         self.status = status
         self.headers = headers
-        marks = self._world.dialect.read_marks(status, headers)
-        self._marks = marks
-        self._learn_limit(marks, now)
-        if marks.is_not_executed:
+        metadata = self._services.adapter.read_response_metadata(status, headers)
+        self._metadata = metadata
+        self._record_rate_limit(metadata, now)
+        if metadata.is_not_executed:
             return
-        if marks.is_encoded or (status < 300 and not marks.is_signed):
+        if metadata.is_encoded or (status < 300 and not metadata.is_signed):
             self._fail(Failure.BROKEN)
             return
         is_stream = self._admitted.route.kind is RouteKind.STREAM
         self.is_streamed = is_stream and status < 300
         if self.is_streamed:
-            self._owner.on_answer_head(self)
+            self._listener.on_response_head(self)
 
     def on_body(self, data: bytes) -> None:
-        """A part of the body."""
+        """Process received bytes of the body."""
         if self._is_over:
             return
-        now = self._world.loop.now()
+        now = self._services.loop.now()
         self.state.record_data(now)
-        if self.is_streamed and not self.has_begun:
-            speed = self._world.guard(self._admitted.service).prefill_rate
-            speed.add_sample(self._tokens_ahead, now - self._began_at)
-        self._has_read()
-        self.has_begun = True
+        if self.is_streamed and not self.has_body_started:
+            prefill_rate = self._services.overload_guard(self._admitted.service).prefill_rate
+            prefill_rate.add_sample(self._tokens_ahead, now - self._started_at)
+        self._finish_prefill()
+        self.has_body_started = True
         if not self.is_streamed:
             self.body += data
             return
         try:
-            self._owner.on_stream_data(data)
+            self._listener.on_stream_data(data)
         except BrokenStreamError as exc:
-            log_trouble("stream_amiss", fault=str(exc), instance=self.state.runner.instance)
+            log_warning("stream_amiss", fault=str(exc), instance=self.state.runner.instance)
             self._fail(Failure.BROKEN)
 
     def on_complete(self) -> None:
-        """The answer is whole."""
+        """Process the end of a complete response."""
         if self._is_over:
             return
-        if self._marks is not None and self._marks.is_not_executed:
-            self._learn_refusal()
+        if self._metadata is not None and self._metadata.is_not_executed:
+            self._handle_refusal()
             self._finish()
-            self._owner.on_failure(Failure.NOT_EXECUTED, self)
+            self._listener.on_failure(Failure.NOT_EXECUTED, self)
             return
         self._finish()
-        now = self._world.loop.now()
+        now = self._services.loop.now()
         if self.status >= STATUS_SERVER_ERROR:
             self.state.record_failure(now)
         else:
             self.state.record_success(now)
         if self.is_streamed:
-            self._owner.on_stream_whole(self)
+            self._listener.on_stream_complete(self)
         else:
-            self._owner.on_whole(self)
+            self._listener.on_response_complete(self)
 
     def on_broken(self, was_sent: bool) -> None:
-        """The connection ended before the answer did."""
-        now = self._world.loop.now()
-        if not was_sent and now - self._began_at >= CONNECT_TIMEOUT_S:
-            self.state.connecting_since = self._began_at
+        """Process a connection that closed before the end of the response."""
+        now = self._services.loop.now()
+        if not was_sent and now - self._started_at >= CONNECT_TIMEOUT_S:
+            self.state.connecting_since = self._started_at
         if was_sent and not self.status and self.connection is not None:
-            self._world.pool.note_broken(self.connection)
-        self.was_cut_off = was_sent
+            self._services.pool.record_broken_connection(self.connection)
+        self.was_interrupted = was_sent
         self._fail(Failure.BROKEN if was_sent else Failure.NOT_SENT)
 
     def cancel(self) -> None:
-        """Give the attempt up: the runner sees the connection close."""
+        """Cancel the attempt by closing its connection to the runner."""
         if not self._is_over:
             self._finish()
             if self.connection is not None:
@@ -191,49 +192,50 @@
         if self._is_over:
             return
         self.cancel()
-        self.state.record_failure(self._world.loop.now())
-        self._owner.on_failure(failure, self)
+        self.state.record_failure(self._services.loop.now())
+        self._listener.on_failure(failure, self)
 
-    def _has_read(self) -> None:
-        """The prompt is read once the first token comes."""
-        if not self._to_read:
+    def _finish_prefill(self) -> None:
+        """Subtract the prompt from the runner's pending prefill; the first token ends prefill."""
+        if not self._prefill_tokens:
             return
-        self.state.pending_prefill_tokens -= self._to_read
-        self._to_read = 0.0
-        self._world.note_reading(self.state)
+        self.state.pending_prefill_tokens -= self._prefill_tokens
+        self._prefill_tokens = 0.0
+        self._services.on_prefill_changed(self.state)
 
     def _finish(self) -> None:
         self._is_over = True
-        self._has_read()
-        self.state.kv_cache_tokens -= self._held
+        self._finish_prefill()
+        self.state.kv_cache_tokens -= self._kv_cache_tokens
         self.state.record_finished()
 
-    def _learn_limit(self, marks: AnswerMarks, now: float) -> None:
-        """Record the rate limit that the answer advertises, or that it advertises none.
+    def _record_rate_limit(self, metadata: ResponseMetadata, now: float) -> None:
+        """Record the rate limit that the response advertises, or its absence.
 
-        An answer without a limit counts only if signed: others may not come from the runner.
+        The absence of a limit counts only in signed responses: unsigned ones may not come from
+        the runner.
         """
-        instance = self._world.dialect.answering_instance(self.headers)
+        instance = self._services.adapter.responding_instance(self.headers)
         if self.status == STATUS_MISDIRECTED and instance not in (None, self.state.runner.name):
             return
-        limits = self._world.runner_limits
-        if marks.rate_limit is not None:
-            limits.record_advertised(self.state.runner.instance, marks.rate_limit, now)
-        elif marks.is_signed:
-            limits.record_absent(self.state.runner.instance, self._began_at, now)
-
-    def _learn_refusal(self) -> None:
-        now = self._world.loop.now()
+        limits = self._services.runner_limits
+        if metadata.rate_limit is not None:
+            limits.record_advertised(self.state.runner.instance, metadata.rate_limit, now)
+        elif metadata.is_signed:
+            limits.record_absent(self.state.runner.instance, self._started_at, now)
+
+    def _handle_refusal(self) -> None:
+        now = self._services.loop.now()
         if self.status != STATUS_MISDIRECTED:
-            self.state.full_until = now + FULL_MEMORY_S
+            self.state.full_until = now + FULL_RUNNER_BACKOFF_S
             return
         model = self._admitted.call.model
-        instance = self._world.dialect.answering_instance(self.headers)
-        wanted = None if model is None else self._world.weights.wanted.get(model)
-        if instance != self.state.runner.name or model is None or wanted is None:
-            # Another runner has the address now.
+        instance = self._services.adapter.responding_instance(self.headers)
+        target = None if model is None else self._services.weights.wanted.get(model)
+        if instance != self.state.runner.name or model is None or target is None:
+            # Another runner uses this address.
             self.state.loading_until = now + LOADING_TIMEOUT_S
-        elif wanted.version > (self.state.weights_version(model) or 0):
-            self.state.record_weights(model, wanted.version)
+        elif target.version > (self.state.weights_version(model) or 0):
+            self.state.record_weights(model, target.version)
         else:
-            self.state.full_until = now + FULL_MEMORY_S
+            self.state.full_until = now + FULL_RUNNER_BACKOFF_S
--- a/src/martenrun/router/event_stream.py
+++ b/src/martenrun/router/event_stream.py
@@ -1,65 +1,65 @@
-"""Whole events of a ``text/event-stream``, with their ids.
+"""Splits a ``text/event-stream`` into complete events with their ids.
 
-Only whole events are passed on, so that a stream that breaks in the middle of one can go on
-elsewhere after the last whole one.
+Only complete events are forwarded, so that a stream broken inside an event can be resumed at
+another runner after the last complete one.
 """
 
 import attrs
 
 MAXIMUM_EVENT_BYTES = 1_048_576
-"""Longest event that is waited for."""
+"""Maximum size of one event."""
 
 
 class BrokenStreamError(ValueError):
-    """The events do not follow each other as those of one stream."""
+    """An event is malformed, too long or out of sequence."""
 
 
 @attrs.frozen
 class StreamEvent:
-    """One whole event as sent, with its blank line; ``event_id`` None if it names none."""
+    """One complete event with its final blank line; ``event_id`` is None if it has no id."""
 
     data: bytes
     event_id: int | None
 
 
 class EventSplitter:
-    """Cuts a byte stream into whole events and checks that their ids rise one by one.
+    """Splits a byte stream into complete events and checks that their ids are consecutive.
 
     Args:
         last_event_id: id of the last event that the caller has.
     """
 
     def __init__(self, last_event_id: int) -> None:
-        self._rest = bytearray()
+        self._buffer = bytearray()
         self.last_event_id = last_event_id
 
     @property
-    def has_rest(self) -> bool:
-        """Whether a part of an event waits for its end."""
-        return bool(self._rest)
+    def has_partial_event(self) -> bool:
+        """Whether an incomplete event is buffered."""
+        return bool(self._buffer)
 
-    def restart(self) -> None:
-        """Drop a part of an event: another runner goes on after the last whole one."""
-        self._rest = bytearray()
+    def discard_partial_event(self) -> None:
+        """Discard an incomplete event; another runner resumes after the last complete one."""
+        self._buffer = bytearray()
 
     def feed(self, data: bytes) -> list[StreamEvent]:
-        """Return the events that are now whole; raises BrokenStreamError if one is amiss."""
-        self._rest += data
+        """Return the events completed by these bytes; raises BrokenStreamError on invalid ones."""
+        self._buffer += data
         events = []
         while True:
-            end = self._rest.find(b"\n\n")
+            end = self._buffer.find(b"\n\n")
             if end < 0:
                 break
-            block = bytes(self._rest[: end + 2])
-            del self._rest[: end + 2]
+            block = bytes(self._buffer[: end + 2])
+            del self._buffer[: end + 2]
             event = StreamEvent(block, _event_id(block))
-            self._check(event)
+            self._check_sequence(event)
             events.append(event)
-        if len(self._rest) > MAXIMUM_EVENT_BYTES:
-            raise BrokenStreamError("an event is too long")
+        if len(self._buffer) > MAXIMUM_EVENT_BYTES:
+            raise BrokenStreamError(f"event exceeds {MAXIMUM_EVENT_BYTES} bytes")
         return events
 
-    def _check(self, event: StreamEvent) -> None:
+    def _check_sequence(self, event: StreamEvent) -> None:
         if event.event_id is None:
             return
         if event.event_id != self.last_event_id + 1:
@@ -73,5 +73,5 @@
             try:
                 return int(line[3:])
             except ValueError as exc:
-                raise BrokenStreamError("an event's id is no number") from exc
+                raise BrokenStreamError("event id is not an integer") from exc
     return None
--- a/src/martenrun/router/lease.py
+++ b/src/martenrun/router/lease.py
@@ -13,11 +13,11 @@
 
 from martenrun.net.http import HttpResponse
 from martenrun.net.loop import Loop
-from martenrun.router.dialect import Dialect
 from martenrun.router.knowledge import decoded
-from martenrun.router.log import log_event, log_trouble
+from martenrun.router.log import log_event, log_warning
 from martenrun.router.messages import Dataset, HttpCall, LeaseRecord, StoredObject, VersionAges
 from martenrun.router.order_schedule import OrderSchedule
+from martenrun.router.platform_adapter import PlatformAdapter
 from martenrun.router.store_client import HttpCaller
 
 CALL_TIMEOUT_S = 0.7
@@ -107,7 +107,7 @@
         self,
         loop: Loop,
         store: HttpCaller,
-        dialect: Dialect,
+        dialect: PlatformAdapter,
         name: str,
         holder: str,
         lease_s: float,
@@ -290,7 +290,7 @@
             self._finish_reservations(True)
             return
         status = None if response is None else response.status
-        log_trouble("lease_write_failed", status=status, token=record.fencing_token)
+        log_warning("lease_write_failed", status=status, token=record.fencing_token)
         self._not_before = self._loop.now() + RETRY_PAUSE_S
         self._finish_reservations(False)
         # The content of the object is unknown now: read it again, and never reuse that token.
--- a/src/martenrun/router/news.py
+++ b/src/martenrun/router/news.py
@@ -6,13 +6,13 @@
 from martenrun.router.limit_messages import LimitUpdate
 from martenrun.router.peer_messages import LeaseNews, SilenceNews
 from martenrun.router.peers import News
+from martenrun.router.request_services import RequestServices
 from martenrun.router.unresponsive_runners import record_unresponsive
 from martenrun.router.weights_rollout import WeightsRollout
 from martenrun.router.weights_updates import apply_weights_update
-from martenrun.router.world import World
 
 
-def take_news(world: World, roller: WeightsRollout, news: News) -> None:
+def take_news(world: RequestServices, roller: WeightsRollout, news: News) -> None:
     """Dispatch news from another router to the component that handles it."""
     now = world.loop.now()
     if isinstance(news, LeaseNews):
@@ -27,7 +27,7 @@
         apply_weights_update(world, news)
 
 
-def newcomer_news(world: World, routers: int) -> Sequence[News]:
+def newcomer_news(world: RequestServices, routers: int) -> Sequence[News]:
     """Return the news for a newly discovered router.
 
     Args:
--- /dev/null
+++ b/src/martenrun/router/request_services.py
@@ -0,0 +1,132 @@
+"""Services and state shared by the components of one router."""
+
+from collections.abc import Callable
+
+import attrs
+
+from martenrun.identity.rendezvous import weight
+from martenrun.net.loop import Loop
+from martenrun.router.knowledge import ConfigurationKnowledge, RunnerDirectory, WeightsKnowledge
+from martenrun.router.messages import KvCacheStore, Route
+from martenrun.router.overload import OverloadGuard
+from martenrun.router.placement import Placement
+from martenrun.router.platform_adapter import PlatformAdapter
+from martenrun.router.quotas.gate import QuotaGate
+from martenrun.router.retry_budget import RetryBudget
+from martenrun.router.runner_limits import RunnerLimits
+from martenrun.router.runner_pool import RunnerPool
+from martenrun.router.runner_state import RunnerState
+from martenrun.router.settings import RouterSettings
+from martenrun.router.suspects import Suspects
+from martenrun.router.tuning import TuningParameters
+
+OLD_WEIGHTS_MARGIN_S = 0.9
+"""Sending requests to old weights stops this many seconds before the bound.
+
+A request may still wait in the runner's queue before it starts.
+"""
+
+OVERDUE_MARGIN_S = 0.6
+"""Requests queued at old weights are withdrawn this many seconds before the bound."""
+
+
+@attrs.define
+class RequestServices:
+    """Services and state that requests are handled with.
+
+    Attributes:
+        decisions: tuning parameters.
+        router_count: returns how many routers share the retry budget.
+        suspects: crash records of requests, and the blocking of crash-causing ones.
+        record_outcome: records how a request ended: outcome, route, seconds.
+        is_store_available: returns whether a KV cache store responds.
+        on_prefill_changed: called when a runner's pending prefill for this router changes.
+        refresh_loads: updates runners' states with the loads that other routers report.
+        quotas: grants quota units to tenants; None where no quota accounts are kept.
+        runner_limits: the rate limits that runners advertise.
+        retry_slack_from: when this router may start to use its share of the retry slack.
+    """
+
+    loop: Loop
+    settings: RouterSettings
+    adapter: PlatformAdapter
+    configuration: ConfigurationKnowledge
+    runners: RunnerDirectory
+    weights: WeightsKnowledge
+    pool: RunnerPool
+    placement: Placement
+    suspects: Suspects
+    router_count: Callable[[], int]
+    record_outcome: Callable[[str, Route, float], None]
+    is_store_available: Callable[[KvCacheStore], bool]
+    on_prefill_changed: Callable[[RunnerState], None]
+    refresh_loads: Callable[[], None]
+    decisions: TuningParameters = attrs.field(factory=TuningParameters)
+    retry_slack_from: float = 0.0
+    quotas: QuotaGate | None = None
+    runner_limits: RunnerLimits = attrs.field(factory=RunnerLimits)
+    _retry_budgets: dict[str, RetryBudget] = attrs.field(factory=dict)
+    _overload_guards: dict[str, OverloadGuard] = attrs.field(factory=dict)
+
+    def retry_budget(self, service: str) -> RetryBudget:
+        """Return this router's retry budget for a service."""
+        budget = self._retry_budgets.get(service)
+        if budget is None:
+            budget = self._retry_budgets[service] = RetryBudget(
+                self.settings.bounds, self.retry_slack_from
+            )
+        return budget
+
+    def overload_guard(self, service: str) -> OverloadGuard:
+        """Return the guard that decides whether a service is overloaded for another prompt."""
+        guard = self._overload_guards.get(service)
+        if guard is None:
+            guard = self._overload_guards[service] = OverloadGuard(self.decisions.overload)
+        return guard
+
+    def runner_states(self, service: str) -> list[RunnerState]:
+        """Return the states of a service's runners with current loads."""
+        self.refresh_loads()
+        return self.pool.states(service)
+
+    def replace_settings(self, settings: RouterSettings) -> None:
+        """Apply the bounds of new settings; addresses stay as they were at startup."""
+        self.settings = settings
+        for budget in self._retry_budgets.values():
+            budget.bounds = settings.bounds
+
+    def oldest_allowed_weights(self, model: str, now: float) -> int:
+        """Return the oldest version of a model's weights that requests may be sent to."""
+        return self.weights.oldest_allowed(model, self.old_weights_bound_s, now)
+
+    @property
+    def old_weights_bound_s(self) -> float:
+        """How long requests are sent to old weights after a newer version became the target."""
+        return self.settings.bounds.weights_s - OLD_WEIGHTS_MARGIN_S
+
+    def oldest_startable_weights(self, model: str, now: float) -> int:
+        """Return the oldest version of a model's weights that may start queued requests."""
+        bound_s = self.settings.bounds.weights_s - OVERDUE_MARGIN_S
+        return self.weights.oldest_allowed(model, bound_s, now)
+
+    def kv_cache_capacity(self, service: str) -> int:
+        """Return the KV cache capacity of a service's runner in tokens; 0 if it has no model."""
+        table = self.configuration.table
+        definition = None if table is None else table.configuration.services.get(service)
+        return (
+            0
+            if definition is None or definition.engine is None
+            else definition.engine.kv_cache_tokens
+        )
+
+    def kv_cache_store(self, prefix: bytes) -> str | None:
+        """Return the address of the KV cache store responsible for a prefix, or None."""
+        table = self.configuration.table
+        if table is None:
+            return None
+        available = [
+            store for store in table.configuration.stores if self.is_store_available(store)
+        ]
+        if len(available) < 2:
+            return available[0].address if available else None
+        return max(available, key=lambda store: weight(prefix, store.address)).address
--- a/src/martenrun/router/runner_choice.py
+++ b/src/martenrun/router/runner_choice.py
@@ -3,12 +3,12 @@
 import attrs
 
 from martenrun.net.http import HttpRequest
-from martenrun.router.messages import Admitted
+from martenrun.router.messages import AdmittedRequest
 from martenrun.router.placement import PlacementQuery
+from martenrun.router.request_services import RequestServices
 from martenrun.router.runner_limits import MINIMUM_REQUESTS_PER_S, RunnerLimit
-from martenrun.router.runner_request import placement_question, request_groups, waiting_prompt
+from martenrun.router.runner_request import placement_query, request_groups, waiting_prompt
 from martenrun.router.runner_state import RunnerState
-from martenrun.router.world import World
 
 MINIMUM_YIELD_DELAY_S = 1.0
 """Minimum retry delay of a request refused in favour of more urgent ones, in seconds."""
@@ -21,11 +21,13 @@
         tried_instances: instances to which the request was sent, which are not chosen again.
     """
 
-    def __init__(self, world: World, request: HttpRequest, admitted: Admitted) -> None:
+    def __init__(
+        self, world: RequestServices, request: HttpRequest, admitted: AdmittedRequest
+    ) -> None:
         self._world = world
         self._request = request
         self._admitted = admitted
-        self._guard = world.guard(admitted.service)
+        self._guard = world.overload_guard(admitted.service)
         self._groups = request_groups(admitted)
         self._fingerprint: bytes | None = None
         self.tried_instances: list[str] = []
@@ -43,7 +45,7 @@
         """Return the query for the placement."""
         fingerprint = self.known_fingerprint()
         suspect_fingerprint = fingerprint if self._world.suspects.is_suspect(fingerprint) else None
-        return placement_question(
+        return placement_query(
             self._world, self._admitted, self.tried_instances, suspect_fingerprint
         )
 
@@ -74,7 +76,7 @@
         if self._is_urgent():
             self._guard.record_urgent_refused(now)
         per_s = sum(limit.rate_limit.units_per_s for _, limit in self._limited_runners())
-        per_router = max(MINIMUM_REQUESTS_PER_S, per_s) / max(1, self._world.node_count())
+        per_router = max(MINIMUM_REQUESTS_PER_S, per_s) / max(1, self._world.router_count())
         return self._guard.retry_schedule.next_delay_s(limited_s, per_router, now)
 
     def _limited_runners(self) -> list[tuple[RunnerState, RunnerLimit]]:
--- a/src/martenrun/router/unresponsive_runners.py
+++ b/src/martenrun/router/unresponsive_runners.py
@@ -2,14 +2,14 @@
 
 from martenrun.router.log import log_event
 from martenrun.router.peer_messages import SilenceNews
+from martenrun.router.request_services import RequestServices
 from martenrun.router.runner_state import RunnerState
-from martenrun.router.world import World
 
 REPORT_INTERVAL_S = 1.5
 """Interval at which a runner that stays unresponsive is reported again, in seconds."""
 
 
-def newly_unresponsive(world: World, now: float) -> list[str]:
+def newly_unresponsive(world: RequestServices, now: float) -> list[str]:
     """Return the unresponsive runners to report, and record them as reported.
 
     Only runners with more recent data from another runner are reported, because a router that gets
@@ -41,7 +41,7 @@
     return since is not None and any(state.last_data_at > since for state in states)
 
 
-def record_unresponsive(world: World, update: SilenceNews, now: float) -> None:
+def record_unresponsive(world: RequestServices, update: SilenceNews, now: float) -> None:
     """Record the report of a router that gets no data from a runner."""
     state = world.pool.state(update.instance)
     if state is None:
--- a/src/martenrun/router/weights_rollout.py
+++ b/src/martenrun/router/weights_rollout.py
@@ -11,7 +11,7 @@
 from martenrun.net.http import HttpResponse
 from martenrun.router.knowledge import decoded
 from martenrun.router.lease import Lease
-from martenrun.router.log import log_event, log_trouble
+from martenrun.router.log import log_event, log_warning
 from martenrun.router.messages import (
     HttpCall,
     LeaseRecord,
@@ -22,11 +22,11 @@
 from martenrun.router.peer_messages import LeaseNews, WeightsNews
 from martenrun.router.peers import Peers
 from martenrun.router.readers import strong_first
+from martenrun.router.request_services import RequestServices
 from martenrun.router.rollout_plan import RolloutQuery, outdated_runners, runners_to_load
 from martenrun.router.runner_state import RunnerState
 from martenrun.router.store_client import HttpCaller
 from martenrun.router.weights_updates import WeightsUpdateBatcher, apply_weights_update
-from martenrun.router.world import World
 
 STEP_INTERVAL_S = 0.1
 """Interval between steps of a rollout, in seconds."""
@@ -72,7 +72,7 @@
 class WeightsRollout:
     """Orders runners to load target weights while this router holds the lease."""
 
-    def __init__(self, world: World, peers: Peers, lease: Lease) -> None:
+    def __init__(self, world: RequestServices, peers: Peers, lease: Lease) -> None:
         self._world = world
         self._peers = peers
         self._lease = lease
@@ -266,7 +266,7 @@
     def _request_report(self, state: RunnerState, model: str) -> None:
         self._call(
             state,
-            self._world.dialect.ask_report(),
+            self._world.adapter.report_request(),
             REPORT_TIMEOUT_S,
             lambda response: self._on_report(response, state, model),
         )
@@ -280,11 +280,11 @@
         if response is None or response.status != STATUS_OK:
             self._postpone_load(state, "no_report")
             return
-        report = decoded(response.body, self._world.dialect.read_report)
+        report = decoded(response.body, self._world.adapter.read_report)
         if report is None:
             self._postpone_load(state, "report_unreadable")
             return
-        if report.born_ms != state.runner.born_ms and report.born_ms is not None:
+        if report.started_at_ms != state.runner.started_at_ms and report.started_at_ms is not None:
             # The runner has restarted and its entry is outdated: its order count began at zero.
             self._postpone_load(state, "started_again")
             return
@@ -333,7 +333,7 @@
         )
         self._call(
             state,
-            self._world.dialect.order_weights(order),
+            self._world.adapter.order_weights(order),
             ORDER_TIMEOUT_S,
             lambda response: self._on_ordered(response, state, model, version),
         )
@@ -349,7 +349,7 @@
             self._lease.order_schedule.cancel(instance)
             return
         outcome = (
-            None if response is None else self._world.dialect.read_order_outcome(response.status)
+            None if response is None else self._world.adapter.read_order_outcome(response.status)
         )
         if outcome is OrderOutcome.ACCEPTED:
             return
@@ -357,7 +357,7 @@
             self._remove_load(instance)
             self._report_load(state, model, version, is_loaded=True)
             return
-        log_trouble(
+        log_warning(
             "order_failed", instance=instance, outcome=None if outcome is None else outcome.value
         )
         if outcome is None:
@@ -378,7 +378,7 @@
         self._remove_load(state.runner.instance)
         self._not_before[state.runner.instance] = now + 2 * REPORT_INTERVAL_S
         state.loading_until = 0.0
-        log_trouble("load_put_off", instance=state.runner.instance, reason=reason)
+        log_warning("load_put_off", instance=state.runner.instance, reason=reason)
 
     def _call(self, state, call: HttpCall, timeout_s: float, on_response) -> None:  # type: ignore[no-untyped-def]
         address = state.runner.address
--- a/src/martenrun/router/weights_updates.py
+++ b/src/martenrun/router/weights_updates.py
@@ -3,8 +3,8 @@
 from martenrun.net.loop import Loop
 from martenrun.router.peer_messages import WeightsNews
 from martenrun.router.peers import Peers
+from martenrun.router.request_services import RequestServices
 from martenrun.router.runner_state import LOADING_TIMEOUT_S, RunnerState
-from martenrun.router.world import World
 
 BATCH_WINDOW_S = 0.02
 """Time for which updates about runners are batched before they are broadcast, in seconds.
@@ -35,7 +35,7 @@
             self._peers.tell_all(WeightsNews(instances, model, version, is_loaded))
 
 
-def apply_weights_update(world: World, update: WeightsNews) -> None:
+def apply_weights_update(world: RequestServices, update: WeightsNews) -> None:
     """Apply an update about runners that are loading weights or have loaded them."""
     for instance in update.instances:
         state = world.pool.state(instance)
--- a/tests/router/test_broken_entries.py
+++ b/tests/router/test_broken_entries.py
@@ -96,7 +96,7 @@
 
     def __init__(self):
         self.loop = FakeLoop()
-        self.dialect = PLATFORM_ADAPTER
+        self.adapter = PLATFORM_ADAPTER
         self.configuration = ConfigurationKnowledge()
         self.runners = RunnerDirectory()
         self.weights = WeightsKnowledge()
--- a/tests/router/test_denials.py
+++ b/tests/router/test_denials.py
@@ -54,7 +54,7 @@
         self.knowledge.take(configuration(1))
         self.knowledge.confirm(self.loop.now())
         world = SimpleNamespace(
-            loop=self.loop, configuration=self.knowledge, dialect=PLATFORM_ADAPTER
+            loop=self.loop, configuration=self.knowledge, adapter=PLATFORM_ADAPTER
         )
         admission = SimpleNamespace(
             admit=lambda exchange, call: SimpleNamespace(status=404, reason="no_route")
--- a/tests/router/test_runner_restarts.py
+++ b/tests/router/test_runner_restarts.py
@@ -15,7 +15,7 @@
 from .builders import route, state
 from .fakes import FakeLoop
 from .test_broken_entries import GOOD
-from .test_forwarding import FULL, Played
+from .test_forwarding import FULL, ForwardingCase
 from .test_forwarding import GOOD as GOOD_RESPONSE
 
 BORN = 1_774_121_905_851
@@ -98,32 +98,34 @@
 
 def test_request_at_a_restarted_runner_is_retried_at_once():
     """Guards against a long wait on the connection of a runner that crashed while unreachable."""
-    played = Played(states=[state("i-0~1", name="i-0")])
-    played.world.runners.put(played.states[0].runner)
+    played = ForwardingCase(states=[state("i-0~1", name="i-0")])
+    played.services.runners.put(played.states[0].runner)
     assert played.pool.sent == ["i-0~1"]
     played.states[:] = [state("i-0~2", name="i-0")]
-    played.world.runners.put(played.states[0].runner)
+    played.services.runners.put(played.states[0].runner)
     played.pool.script = [GOOD_RESPONSE]
-    played.forwarding.leave_ended_runner()
+    played.forwarder.move_off_replaced_runner()
     played.run(0.1)
     assert played.pool.sent == ["i-0~1", "i-0~2"]
-    assert played.exchange.answers[0][0] == 200
+    assert played.exchange.responses[0][0] == 200
 
 
 def test_unsafe_request_at_a_restarted_runner_is_not_retried():
-    played = Played(states=[state("i-0~1", name="i-0")], the_route=route(kind=RouteKind.UNSAFE))
-    played.world.runners.put(played.states[0].runner)
+    played = ForwardingCase(
+        states=[state("i-0~1", name="i-0")], custom_route=route(kind=RouteKind.UNSAFE)
+    )
+    played.services.runners.put(played.states[0].runner)
     played.states[:] = [state("i-0~2", name="i-0")]
-    played.world.runners.put(played.states[0].runner)
-    played.forwarding.leave_ended_runner()
+    played.services.runners.put(played.states[0].runner)
+    played.forwarder.move_off_replaced_runner()
     played.run(0.1)
     assert played.pool.sent == ["i-0~1"]
-    assert played.exchange.answers[0][0] == 502
+    assert played.exchange.responses[0][0] == 502
 
 
 def test_full_runner_does_not_count_as_restarted():
-    played = Played([FULL], states=[state("i-0~1", name="i-0")])
-    played.world.runners.put(played.states[0].runner)
-    played.forwarding.leave_ended_runner()
+    played = ForwardingCase([FULL], states=[state("i-0~1", name="i-0")])
+    played.services.runners.put(played.states[0].runner)
+    played.forwarder.move_off_replaced_runner()
     played.run(0.001)
     assert played.pool.sent == ["i-0~1"]
--- a/tests/router/test_suspension.py
+++ b/tests/router/test_suspension.py
@@ -16,7 +16,7 @@
 from .builders import bounds, configuration, route, runner
 from .fakes import FakeLoop, FakeStore
 from .loopback import Peer, free_address, serve_until
-from .test_forwarding import GOOD, Played
+from .test_forwarding import GOOD, ForwardingCase
 
 SUSPENDED_S = 4.0
 
@@ -76,7 +76,7 @@
 
     entry.idle.append(IdleConnection())
     suspend()
-    assert pool._rested(entry, True) is None
+    assert pool._take_idle_connection(entry, True) is None
 
 
 def test_lease_expires_during_suspension():
@@ -116,15 +116,15 @@
 
 
 def test_request_waiting_for_runner_is_not_sent_after_its_deadline():
-    played = Played([GOOD], states=[], the_route=route(timeout_s=3.0, objective_s=9.0))
+    played = ForwardingCase([GOOD], states=[], custom_route=route(timeout_s=3.0, objective_s=9.0))
     played.loop.time += SUSPENDED_S
-    played.pool._states.extend(Played().states)
-    played.forwarding._look_for_runner()
-    assert played.pool.sent == [] and played.ends == ["refused"]
+    played.pool._states.extend(ForwardingCase().states)
+    played.forwarder._choose_runner()
+    assert played.pool.sent == [] and played.outcomes == ["refused"]
 
 
 def test_request_is_not_sent_with_outdated_deadline_after_suspension_during_connect():
-    played = Played()
+    played = ForwardingCase()
     attempt = played.pool.readers[0]
     attempt.was_sent = False
     played.loop.time += CONNECT_TIMEOUT_S + SUSPENDED_S / 4
--- a/tests/router/unguarded_router.py
+++ b/tests/router/unguarded_router.py
@@ -1,4 +1,4 @@
-"""Starts a router with one of its guards taken out, for tests of the soak's checkers.
+"""Starts a router with one of its safeguards removed, for tests of the soak's checkers.
 
     UNGUARDED=live unguarded_router.py
 
@@ -17,16 +17,16 @@
 sys.path.insert(0, str(ENTRY.parent.parent / "src"))
 
 
-def name_everybody():
-    """Count every router ever heard of as alive."""
+def treat_all_routers_as_alive():
+    """Treat every router ever seen as alive."""
     from martenrun.router.router_table import RouterTable
 
     RouterTable.live = lambda self, now: [known.record for known in self._known.values()]
     RouterTable.forget_dead = lambda self, now: None
 
 
-def send_to_leaving_runners():
-    """Take in neither that a runner leaves nor that its entry is gone."""
+def ignore_draining_and_removed_runners():
+    """Ignore draining and removed runners."""
     from martenrun.router.knowledge import RunnerDirectory
 
     def put(self, runner):
@@ -37,22 +37,22 @@
     RunnerDirectory.remove = lambda self, instance: None
 
 
-def keep_unreadable_entries():
-    """Go on using a runner whose entry can no longer be read, or is gone."""
+def keep_undecodable_runners():
+    """Keep using runners whose entry is undecodable or removed."""
     from martenrun.router.knowledge import RunnerDirectory
 
     RunnerDirectory.remove = lambda self, name: None
 
 
-def tell_no_starts_apart():
-    """Take a runner that starts again under its id for the one before."""
+def ignore_runner_instances():
+    """Treat a runner that restarts under its id as the previous instance."""
     from martenrun.platform import specs
 
     specs.instance_key = lambda name, _born_ms: name
 
 
-def serve_no_new_connection():
-    """Leave callers' new connections unserved after the first seconds."""
+def stop_serving_new_connections():
+    """Stop serving new connections of callers after the first seconds."""
     import time
 
     from martenrun.net.server import Server
@@ -69,33 +69,33 @@
     Server._on_accept = accept
 
 
-def work_on_for_callers_that_left():
-    """Do not notice that a caller has left."""
-    from martenrun.router.forwarding import Forwarding
+def ignore_caller_disconnects():
+    """Ignore callers that disconnect."""
+    from martenrun.router.forwarding import RequestForwarder
 
-    Forwarding._on_gone = lambda self: None
+    RequestForwarder._on_caller_disconnected = lambda self: None
 
 
-def end_at_a_hang_up():
-    """Let SIGHUP end the process, as it does by default; who started it may have it ignored."""
+def terminate_on_sighup():
+    """Let SIGHUP terminate the process, also if the parent process ignores it."""
     signal.signal(signal.SIGHUP, signal.SIG_DFL)
-    signal.signal = _keep_default_of_hang_up(signal.signal)
-    _signal.signal = _keep_default_of_hang_up(_signal.signal)
+    signal.signal = _keep_default_of_sighup(signal.signal)
+    _signal.signal = _keep_default_of_sighup(_signal.signal)
 
 
-def _keep_default_of_hang_up(register):
+def _keep_default_of_sighup(register):
     return lambda number, handler: None if number == signal.SIGHUP else register(number, handler)
 
 
-def hold_nothing_back():
-    """Send whatever comes to runners, however many have ended under it."""
+def block_no_requests():
+    """Send requests to runners however many have crashed while serving them."""
     from martenrun.router.blame_table import BlameTable
 
     BlameTable.held_for_s = lambda self, fingerprint, now: 0.0
 
 
-def grant_whatever_is_asked():
-    """Let tenants use as much as they ask for."""
+def grant_all_requests():
+    """Grant tenants everything that they request."""
     from martenrun.router.quotas.account import Account, Verdict
 
     Account.ask = lambda self, grant, units, now: Verdict(True)
@@ -109,18 +109,18 @@
 
 
 GUARDS = {
-    "directory": name_everybody,
-    "leaving": send_to_leaving_runners,
-    "entries": keep_unreadable_entries,
-    "served again": tell_no_starts_apart,
-    "connections": serve_no_new_connection,
-    "left": work_on_for_callers_that_left,
-    "own end": end_at_a_hang_up,
-    "deadly": hold_nothing_back,
-    "rates": grant_whatever_is_asked,
+    "directory": treat_all_routers_as_alive,
+    "leaving": ignore_draining_and_removed_runners,
+    "entries": keep_undecodable_runners,
+    "served again": ignore_runner_instances,
+    "connections": stop_serving_new_connections,
+    "left": ignore_caller_disconnects,
+    "own end": terminate_on_sighup,
+    "deadly": block_no_requests,
+    "rates": grant_all_requests,
     "limits": ignore_runner_limits,
 }
-"""What takes each guard out, by the checker that must then find a violation."""
+"""Functions that remove a safeguard, by the checker that must then find a violation."""
 
 if __name__ == "__main__":
     GUARDS[os.environ["UNGUARDED"]]()
