--- a/src/martenrun/router/contacts.py
+++ b/src/martenrun/router/contacts.py
@@ -1,9 +1,9 @@
-"""Addresses of some living routers, kept in the platform's store for routers without a live seed.
+"""Peer addresses in the platform's store, for routers whose seeds are all dead.
 
-Seeds are fixed when a router starts and may all be gone by then.  A router that hears from nobody
-would count as the only one: it would own every tenant's account and the whole retry budget.  One
-of the routers that read the store keeps the object current; who is isolated reads it and sends its
-record to the addresses found there.
+Seeds are fixed when a router starts and may all have been replaced by then.  A router without peers
+would act as the only one: it would own every tenant's account and the whole retry budget.  One of
+the store readers keeps the object with the addresses current; an isolated router reads it and
+sends its record to the addresses found there.
 """
 
 import random
@@ -23,22 +23,22 @@
 OBJECT_NAME = "main"
 
 STORED_CONTACTS = 8
-"""Addresses kept in the store."""
+"""Maximum number of addresses in the store."""
 
 CHECK_S = 0.5
-"""How often a router looks whether it is isolated or has to write, in seconds."""
+"""How often a router checks whether it is isolated or has to write, in seconds."""
 
 CALL_TIMEOUT_S = 0.7
-"""How long a call to the store waits for its answer, in seconds."""
+"""Timeout of a call to the store, in seconds."""
 
 RETRY_PAUSE_S = 1.0
-"""Shortest time between two calls of one router, in seconds."""
+"""Minimum time between two calls of one router, in seconds."""
 
 REREAD_S = 5.0
-"""How often the writer reads the object again, in seconds: routers out of its sight may write."""
+"""How often the writer rereads the object, in seconds: routers unknown to it may write as well."""
 
 ANSWER_GRACE_S = 2.0
-"""How long an address that was read may stay silent until it is replaced, in seconds."""
+"""How long a stored address may stay unresponsive before it is replaced, in seconds."""
 
 STATUS_CREATED = 201
 STATUS_NOT_FOUND = 404
@@ -47,7 +47,7 @@
 
 @attrs.frozen
 class StoredContacts:
-    """The object as last read or written; ``read_at`` is steady time, in seconds."""
+    """The object as last read or written; ``read_at`` is monotonic time, in seconds."""
 
     stored: StoredObject | None
     addresses: tuple[str, ...]
@@ -57,14 +57,14 @@
 def choose_contacts(
     stored: Sequence[str], alive: Sequence[str], unverified: Sequence[str]
 ) -> tuple[str, ...]:
-    """Return the addresses to be stored.
+    """Return the addresses to store.
 
-    Those stored already stay while they live, so that the object rarely changes.
+    Stored addresses of live routers are kept, so that the object rarely changes.
 
     Args:
         stored: addresses in the object.
-        alive: addresses of the living routers, the writer included.
-        unverified: stored addresses that still have time to answer.
+        alive: addresses of the live routers, including the writer.
+        unverified: stored addresses that still have time to respond.
     """
     living = set(alive)
     kept = [address for address in stored if address in living or address in unverified]
@@ -73,10 +73,10 @@
 
 
 class ContactDirectory:
-    """Reads the stored addresses while this router is isolated, and keeps them current else.
+    """Reads the stored addresses while this router is isolated, otherwise keeps them current.
 
     Args:
-        reads_store: whether this router reads the store for others.
+        reads_store: whether this router is a store reader.
     """
 
     def __init__(
@@ -101,9 +101,10 @@
 
     @property
     def is_resolved(self) -> bool:
-        """Whether this router knows if there are others.
+        """Whether this router knows if there are other routers.
 
-        It has heard from one, or has read the object and nobody named there has answered in time.
+        True once it has heard from one, or has read the object and no router listed there has
+        responded in time.
         """
         if not self._is_resolved:
             known = self._known
@@ -115,7 +116,7 @@
         return self._is_resolved
 
     def start(self) -> None:
-        """Look after the object from now on."""
+        """Start the periodic checks."""
         self._loop.call_later(CHECK_S * self._rng.uniform(0.8, 1.2), self._check)
 
     def _check(self) -> None:
@@ -138,7 +139,7 @@
             self._write(known, wanted)
 
     def _is_writer(self) -> bool:
-        """Whether this router is the one that writes, as far as it knows."""
+        """Return whether this router is the one that writes, as far as it knows."""
         if not self._reads_store():
             return False
         readers = [item.address for item in self._peers.live() if item.reads_store]
@@ -165,7 +166,7 @@
             log_trouble("contacts_not_read", status=None if answer is None else answer.status)
 
     def _take_stored(self, answer: HttpAnswer) -> None:
-        """Take the object in and get in touch with the routers it names."""
+        """Merge the stored object and send the own record to the unknown routers it lists."""
         now = self._loop.now()
         stored = decoded(answer.body, self._dialect.read_stored)
         if stored is None:
@@ -191,7 +192,7 @@
         if answer is not None and status in (STATUS_OK, STATUS_CREATED, STATUS_CONFLICT):
             self._take_stored(answer)
             return
-        # The object may have been written or be gone: it is read before the next write.
+        # The write may have succeeded or the object may be deleted: read it before the next write.
         self._known = None
         log_trouble("contacts_not_written", status=status)
 
--- a/src/martenrun/router/dataset_copy.py
+++ b/src/martenrun/router/dataset_copy.py
@@ -1,9 +1,9 @@
-"""A router's copy of one dataset of the platform's store.
+"""A router's replica of one dataset of the platform's store.
 
-It is fed by the store or by another router, and in turn feeds other routers.  Every change gets
-a number of this copy's own, so that a follower can ask for what came after the last one it has.
-An object that is missing after an outage is kept for a time of grace; followers are told since when
-it is missing, so that it lasts no longer with them, whoever they follow next.
+It is fed by the store or by another router, and feeds other routers in turn.  Each change gets a
+sequence number of this replica, so that a follower can request the changes after its last one.
+An object that is missing after an outage is kept for a grace period.  Followers receive the time
+since when it is missing, so that they do not keep it longer, whichever router they follow next.
 """
 
 import collections
@@ -15,17 +15,17 @@
 from martenrun.router.messages import Dataset, StoredObject
 
 RETURN_GRACE_S = 2.0
-"""How long after an outage of the store an object may still be missing without being gone."""
+"""How long after an outage of the store an object may be missing before it counts as deleted."""
 
 NONE_MISSING: Mapping[str, float] = {}
 
 REMEMBERED_CHANGES = 512
-"""Changes kept for followers; who asks for older ones gets the whole copy."""
+"""Maximum number of changes kept for followers; requests for older ones get a snapshot."""
 
 
 @attrs.frozen
 class Change:
-    """One change of a copy; ``stored`` is None where the object is gone."""
+    """One change of a replica; ``stored`` is None if the object was deleted."""
 
     number: int
     name: str
@@ -34,12 +34,12 @@
 
 @attrs.frozen
 class CopyListener:
-    """What is told of a copy's changes.
+    """Callbacks for changes of a replica.
 
     Attributes:
         on_put: an object is new or has changed.
-        on_gone: an object is gone.
-        on_settled: a whole answer has been taken in.
+        on_gone: an object was deleted.
+        on_settled: a complete response has been applied.
     """
 
     on_put: Callable[[StoredObject], None]
@@ -48,11 +48,11 @@
 
 
 class DatasetCopy:
-    """Objects of one dataset, the newest revision seen, and when that was last confirmed.
+    """Objects of one dataset, the newest revision seen, and when it was last confirmed.
 
     Args:
-        dataset: what is copied.
-        listener: told of the changes.
+        dataset: the replicated dataset.
+        listener: receives the changes.
     """
 
     def __init__(self, dataset: Dataset, listener: CopyListener) -> None:
@@ -67,21 +67,21 @@
 
     @property
     def is_known(self) -> bool:
-        """Whether a whole list has been taken in."""
+        """Whether a complete list has been applied."""
         return self.revision is not None
 
     @property
     def objects(self) -> list[StoredObject]:
-        """All objects, those missing only since an outage included."""
+        """All objects, including those that are missing since an outage."""
         return list(self._objects.values())
 
     @property
     def has_missing(self) -> bool:
-        """Whether an object is missing and kept for the time of grace."""
+        """Whether a missing object is kept for the grace period."""
         return bool(self._missing_since)
 
     def missing_since(self, name: str) -> float | None:
-        """Return since when an object is missing and kept for the time of grace, or None."""
+        """Return since when an object kept for the grace period is missing, or None."""
         return self._missing_since.get(name)
 
     def replace(
@@ -92,7 +92,7 @@
         now: float,
         missing: Mapping[str, float] = NONE_MISSING,
     ) -> None:
-        """Take in a whole list, unless it is older than what is known.
+        """Apply a complete list, unless it is older than the known state.
 
         Args:
             missing: since when objects of the list are missing in the store.
@@ -116,7 +116,7 @@
         now: float,
         missing: Mapping[str, float] = NONE_MISSING,
     ) -> None:
-        """Take in changes in order of their kind: objects first, then those that are gone.
+        """Apply changes: first changed objects, then deletions.
 
         Args:
             missing: since when changed objects are missing in the store.
@@ -129,12 +129,12 @@
         self._listener.on_settled()
 
     def confirm(self, asked_at: float) -> None:
-        """Note that a read sent at ``asked_at`` is taken in whole; the time only rises."""
+        """Record that a read sent at ``asked_at`` was applied; the time only increases."""
         if self.confirmed_at is None or asked_at > self.confirmed_at:
             self.confirmed_at = asked_at
 
     def drop_missing(self, now: float) -> None:
-        """Drop objects that have stayed missing for the whole time of grace."""
+        """Drop objects that have been missing for the whole grace period."""
         late = [key for key, since in self._missing_since.items() if now - since > RETURN_GRACE_S]
         for name in late:
             log_trouble("object_lapsed", dataset=self.dataset.value, name=name)
@@ -143,7 +143,7 @@
             self._listener.on_settled()
 
     def changes_after(self, number: int) -> list[Change] | None:
-        """Return the changes after a number, or None if they are no longer all known."""
+        """Return the changes after a sequence number, or None if some are no longer kept."""
         if number == self.number:
             return []
         if number > self.number or not self._changes or self._changes[0].number > number + 1:
@@ -151,7 +151,7 @@
         return [change for change in self._changes if change.number > number]
 
     def _put(self, stored: StoredObject, missing_since: float | None) -> None:
-        """Take in an object; one that is missing keeps the earliest time of that."""
+        """Store an object; one that is missing keeps the earliest such time."""
         known = self._objects.get(stored.name)
         if known is not None and known.revision > stored.revision:
             return
--- a/src/martenrun/router/denials.py
+++ b/src/martenrun/router/denials.py
@@ -1,4 +1,4 @@
-"""Denies a request only by recent knowledge, after news had time to come."""
+"""Rechecks requests that would be denied, against recent state, before it denies them."""
 
 from collections.abc import Callable
 
@@ -12,23 +12,23 @@
 from martenrun.router.world import World
 
 DENIAL_AGE_S = 2.6
-"""Age from which configuration is too old to deny anything by it without a new read."""
+"""Age above which the configuration must be reread before a request is denied, in seconds."""
 
 DENIAL_WAIT_S = 0.06
-"""How long a denial waits for news that may be under way, in seconds."""
+"""How long a denial waits for updates that may be in transit, in seconds."""
 
 CONFIRM_TIMEOUT_S = 0.8
-"""How long a denial waits for a new read of the configuration to be whole, in seconds."""
+"""Timeout for the complete reread of the configuration, in seconds."""
 
 
 class Denials:
-    """Looks again at requests that would be denied.
+    """Decides requests again that would be denied.
 
-    Only requests that come before a read has failed wait for one: while the store does not answer,
-    others are refused at once, and reads go on behind them.
+    Only requests that arrive before a read has failed wait for one.  While the store does not
+    respond, others are refused at once, and reads continue in the background.
 
     Args:
-        forward: takes up a request that may be served after all.
+        forward: forwards a request that is admitted after all.
     """
 
     def __init__(
@@ -49,7 +49,7 @@
         self._failed_at: float | None = None
 
     def look_again(self, exchange: Exchange, call: Call) -> None:
-        """Decide a request anew in a moment, by a new read where what is known is old."""
+        """Decide a request again shortly, after a new read if the configuration is old."""
         self._world.loop.call_later(DENIAL_WAIT_S, lambda: self._decide_or_read(exchange, call))
 
     def _decide_or_read(self, exchange: Exchange, call: Call) -> None:
@@ -65,14 +65,14 @@
             self._read()
 
     def _has_failed_since_confirmed(self) -> bool:
-        """Whether the last read failed, and nothing has confirmed the configuration since."""
+        """Return whether the last read failed and nothing has confirmed the configuration since."""
         confirmed_at = self._world.configuration.confirmed_at
         if self._failed_at is None:
             return False
         return confirmed_at is None or confirmed_at < self._failed_at
 
     def _read(self) -> None:
-        """Read the configuration, unless a read is under way: one serves all that wait."""
+        """Read the configuration, unless a read is pending: one serves all waiting requests."""
         if self._is_reading:
             return
         self._is_reading = True
@@ -98,7 +98,7 @@
                 refuse(exchange, Refusal(503, "not_confirmed"), call)
 
     def _is_confirmed(self, answer: HttpAnswer | None, asked_at: float) -> bool:
-        """Take a read of the configuration in; return whether that is what is in force here."""
+        """Apply a read configuration; return whether it is the one in force on this router."""
         if answer is None or answer.status != 200:
             return False
         stored = decoded(answer.body, self._world.dialect.read_stored)
--- a/src/martenrun/router/keeper.py
+++ b/src/martenrun/router/keeper.py
@@ -1,4 +1,4 @@
-"""Keeps a router's copies of the store's datasets current, from the store or from a reader."""
+"""Keeps a router's replicas of the store's datasets current, from the store or from a reader."""
 
 import random
 from collections.abc import Callable, Mapping, Sequence
@@ -18,17 +18,17 @@
 from martenrun.router.store_watch import FollowSettings, StoreFollower
 
 CHECK_S = 0.2
-"""How often the way of reading is planned anew, in seconds."""
+"""Interval between two read plans, in seconds."""
 
 LOST_MEMORY_S = 5.0
-"""How long a router that lost the store is not chosen as a reader, in seconds."""
+"""How long a router that lost the store is not chosen as a store reader, in seconds."""
 
 PAUSE_STEP_S = 0.1
 LONGEST_PAUSE_S = 0.4
-"""Pause before the next router is asked, for each that gave no good answer in a row but the first.
+"""Pause before another router is queried, per consecutive failure after the first, in seconds.
 
-When many start at a time, or the store is down, nobody has news: without this each would ask all
-others in turn.
+When many routers start at once, or the store is down, none has current state: without the pause
+each would query all others in turn.
 """
 
 WAITS_S = {
@@ -37,30 +37,30 @@
     Dataset.WEIGHTS: 2.5,
     Dataset.BLAME: 10.0,
 }
-"""How long one watch of each dataset waits.
+"""How long one watch of each dataset waits, in seconds.
 
-What it tells is as old as its sending, so that knowledge grows as old as two waits.  Of requests
-that end runners routers tell each other at once: that watch serves those that come later.
+The result of a watch is as old as its request, so state can become as old as two waits.  Routers
+broadcast crash-causing requests; the blame watch only serves routers that join later.
 """
 
 RESTS_S = {Dataset.RUNNERS: 0.2}
-"""How long after changes of a dataset the next ones are waited for.
+"""How long the next watch of a dataset is delayed after changes, in seconds.
 
-Many runners change at a time, at starts and loads of weights; each change would end a watch and
-an answer to every follower.  With ten changes a second two readers make 13 calls a second instead
-of 24, and each follower asks 5 times instead of 10 (60 routers in virtual time).  What leaves is
-known 0.2 s later.
+Many runners change at once when they start or load weights; each change would end a watch and cause
+a response to every follower.  With ten changes a second two readers make 13 calls a second instead
+of 24, and each follower sends 5 queries instead of 10 (60 routers in virtual time).  In return,
+removed runners are noticed 0.2 s later.
 """
 
 
 @attrs.frozen
 class KeeperParts:
-    """What a keeper works with.
+    """Collaborators of a keeper.
 
     Attributes:
-        seeds: addresses of routers to ask while no other one is known.
-        caller: makes what calls one address.
-        rng: draws whom this router asks, and when it reads if it reaches nobody.
+        seeds: addresses of routers to query while no other one is known.
+        caller: creates the client for one address.
+        rng: chooses the routers to query, and when to read if none can be reached.
     """
 
     loop: Loop
@@ -77,7 +77,7 @@
     """Runs the followers of the store and of other routers.
 
     Args:
-        on_confirmed: called after each answer that was taken in.
+        on_confirmed: called after each response that was applied.
     """
 
     def __init__(self, parts: KeeperParts, on_confirmed: Callable[[], None]) -> None:
@@ -128,20 +128,20 @@
 
     @property
     def has_lost_store(self) -> bool:
-        """Whether this router had no good answer of the store lately."""
+        """Whether a call of this router to the store failed recently."""
         return self._lost_at is not None and self._loop.now() - self._lost_at < LOST_MEMORY_S
 
     def note_store_lost(self) -> None:
-        """Take in that another call to the store had no answer."""
+        """Record that another call to the store failed."""
         self._lost_at = self._loop.now()
 
     @property
     def reads_store(self) -> bool:
-        """Whether this router reads the store, with answers."""
+        """Whether this router is a store reader and receives responses."""
         return self._reads_store and self._is_reading()
 
     def start(self) -> None:
-        """Plan how to read, from now on."""
+        """Start the periodic planning."""
         self._check()
 
     def _check(self) -> None:
@@ -154,7 +154,7 @@
         self._loop.call_later(CHECK_S, self._check)
 
     def _lose_store(self, now: float) -> None:
-        """Tell others at once that this router cannot read for them."""
+        """Broadcast at once that this router cannot read for others."""
         is_news = not self.has_lost_store
         self._lost_at = now
         if is_news:
@@ -191,7 +191,8 @@
             for follower in self._followers:
                 follower.start()
         elif self.has_lost_store:
-            # Others try it now; with answers it would go on until another router has news.
+            # Other readers try instead.  With responses, reading would go on until another router
+            # has newer state.
             self._stop_reading()
         if self._source_address is None:
             self._relay_follower.stop()
@@ -203,10 +204,11 @@
             follower.stop()
 
     def _asks_in_vain(self) -> bool:
-        """Whether this router asks the store and has no answers.
+        """Return whether this router's requests to the store fail.
 
-        One that has stopped asking must not say so: all would wait for each other's refusals, and
-        nobody would ask the store for as long as they are remembered (5 s after an outage).
+        A router that has stopped sending requests must not claim this: all routers would wait for
+        each other's refusals, and no router would query the store while these are remembered (5 s
+        after an outage).
         """
         return self._reads_store and not self._is_reading()
 
@@ -214,10 +216,10 @@
         return all(item.is_current for item in self._followers)
 
     def _may_relay(self) -> bool:
-        """Whether this router passes knowledge on: one that reads, or that follows a reader.
+        """Return whether this router relays state: if it is a reader or follows one.
 
-        Tables differ for moments, most among many routers: who asks a router that is no reader is
-        served all the same.  Followers of such a one do not pass on, so that none follow in a ring.
+        Router tables differ for moments, mostly in large deployments, so a router may be queried
+        although it is no reader.  Followers of such a router do not relay, which prevents cycles.
         """
         if self.has_lost_store:
             return False
@@ -229,7 +231,7 @@
     def _on_read(self) -> None:
         self._lost_at = None
         if self.reads_store and not self._is_reading_told:
-            # Others begin to read as well until they hear of it.
+            # Until they learn of it, other routers start to read as well.
             self._is_reading_told = True
             self._peers.tell_now()
         self.relay.copies_changed()
@@ -247,7 +249,7 @@
         now = self._loop.now()
         self.relay.drop_held()
         if has_lost_store:
-            # It reads, as well as anybody can: no reason to ask the store from here too.
+            # That router reads as well as any can: no reason to query the store from here too.
             self._choice.note_reached(now, is_served=False)
         if not has_lost_store or not self._is_all_known:
             self._choice.note_failed(address, now)
--- a/src/martenrun/router/knowledge.py
+++ b/src/martenrun/router/knowledge.py
@@ -1,7 +1,7 @@
-"""What a router knows from the platform's store, and how old that knowledge is.
+"""State read from the platform's store, and its age.
 
-Versions only rise.  The age of the configuration counts from the sending of the read that
-confirmed it, on the steady clock, never from its answer.
+Versions only increase.  The age of the configuration counts from the time at which the confirming
+read was sent, not from its response, on the monotonic clock.
 """
 
 from collections.abc import Callable
@@ -18,18 +18,19 @@
 from martenrun.router.route_table import RouteTable
 
 TOLD = 3
-"""Versions of the configuration, or of a model's weights, of which other routers are told."""
+"""Number of latest versions of the configuration, or of a model's weights, that are gossiped."""
 
 REMEMBERED_VERSIONS = 16
-"""Versions of the configuration, or of a model's weights, of which the time is remembered."""
+"""Number of versions of the configuration, or of a model's weights, whose time is kept."""
 
 
 class ConfigurationKnowledge:
-    """The newest configuration seen, and when it was last known to be the newest.
+    """The newest known configuration, and when it was last confirmed to be the newest.
 
-    Beside it stands since when newer versions are in force at other routers: whoever is behind for
-    longer than a change may take must not serve by the old one, however long it asks in vain.
-    While the store is down, or this router cut off, nobody tells of newer versions.
+    Also tracks since when newer versions are in force on other routers: a router that has been
+    behind for longer than a change may take must not serve by the old version, even if its own
+    requests for the newer one fail.  While the store is down, or this router is isolated, newer
+    versions are not reported.
     """
 
     def __init__(self) -> None:
@@ -46,11 +47,11 @@
         return 0 if self.table is None else self.table.configuration.version
 
     def age_s(self, now: float) -> float:
-        """Return how old the knowledge is, in seconds; infinite before the first."""
+        """Return the age of the configuration in seconds; infinite before the first one."""
         return float("inf") if self.confirmed_at is None else now - self.confirmed_at
 
     def take(self, configuration: Configuration) -> None:
-        """Take in a configuration unless a newer one is known."""
+        """Put a configuration in force unless a newer one is known."""
         self._is_readable = True
         if self.table is not None and configuration.version <= self.version:
             return
@@ -61,27 +62,27 @@
             call(configuration)
 
     def note_unreadable(self) -> None:
-        """Take in that the store holds a configuration that cannot be understood.
+        """Record that the store holds a configuration that cannot be decoded.
 
-        The last good one stays in force, but reads do not confirm it any more: the newer one may
-        have taken keys away.
+        The last valid one stays in force, but reads do not confirm it any more, because the newer
+        one may have revoked keys.
         """
         self._is_readable = False
 
     def confirm(self, asked_at: float) -> bool:
-        """Note that a read sent at ``asked_at`` showed nothing newer; the time only rises.
+        """Record that a read sent at ``asked_at`` found nothing newer; the time only increases.
 
         Returns:
-            Whether what is in force here is what the store holds.
+            Whether the store holds the configuration that is in force on this router.
         """
         if self._is_readable and (self.confirmed_at is None or asked_at > self.confirmed_at):
             self.confirmed_at = asked_at
         return self._is_readable
 
     def hear(self, versions: list[tuple[int, int]], told_at: float) -> None:
-        """Take in which versions are in force somewhere, and for how long, in milliseconds.
+        """Merge the versions in force on other routers, with their ages in milliseconds.
 
-        Being told again renews nothing: the earliest time stays.
+        Repeated reports do not renew a version: its earliest time is kept.
         """
         for version, age_ms in versions:
             since = told_at - age_ms / 1000.0
@@ -97,12 +98,12 @@
                 del self._since[version]
 
     def told(self, now: float) -> list[tuple[int, int]]:
-        """Return the last versions that are in force somewhere, and for how long, as in hear()."""
+        """Return the latest versions in force on any router and their ages in milliseconds."""
         newest = sorted(self._since.items())[-TOLD:]
         return [(version, int((now - since) * 1000)) for version, since in newest]
 
     def behind_s(self, now: float) -> float:
-        """Return for how long a newer version has been in force elsewhere, in seconds."""
+        """Return for how long a newer version has been in force on another router, in seconds."""
         return 0.0 if self._behind_since is None else now - self._behind_since
 
     def _first_known_after(self, version: int) -> float | None:
@@ -110,9 +111,10 @@
 
 
 class RunnerDirectory:
-    """The runners listed, each by the key of its last start.
+    """The listed runners, by the key of their latest instance.
 
-    The entry of another start under the same id ends the one before at once, drained or not.
+    An entry for a new instance with the same ID replaces the previous one at once, even if that
+    has not drained.
     """
 
     def __init__(self) -> None:
@@ -120,7 +122,7 @@
         self._lives: dict[str, str] = {}
 
     def put(self, runner: Runner) -> None:
-        """Take in an entry; a runner that drains never becomes ready again in this life."""
+        """Add or update an entry; a draining instance never becomes ready again."""
         last = self._lives.get(runner.name)
         if last is not None and last != runner.instance:
             log_event("runner_started_again", instance=runner.instance, before=last)
@@ -131,20 +133,20 @@
             self.runners[runner.instance] = runner
 
     def remove(self, name: str) -> None:
-        """Take in that the entry of a runner is gone, or that it cannot be read any more."""
+        """Remove a runner whose entry was deleted or cannot be decoded."""
         self.runners.pop(self._lives.pop(name, ""), None)
 
     def listed_at(self, address: str) -> list[str]:
-        """Return the instances listed at an address."""
+        """Return the instances that are listed with an address."""
         return [key for key, runner in self.runners.items() if runner.address == address]
 
     def has_ended(self, runner: Runner) -> bool:
-        """Whether a later start under the same id is known: this one works on nothing any more."""
+        """Return whether a later instance with the same ID has replaced this one."""
         return self._lives.get(runner.name, runner.instance) != runner.instance
 
 
 class WeightsKnowledge:
-    """The versions of weights that the operator has named, and since when they are known."""
+    """The target versions of weights set by the operator, and when each became known."""
 
     def __init__(self) -> None:
         self.wanted: dict[str, WantedWeights] = {}
@@ -152,7 +154,7 @@
         self.on_changed: Callable[[], None] = _nothing
 
     def take(self, wanted: WantedWeights, now: float) -> None:
-        """Take in a named version unless a newer one is known."""
+        """Set a target version unless a newer one is known."""
         known = self.wanted.get(wanted.model)
         if known is not None and known.version >= wanted.version:
             return
@@ -164,18 +166,18 @@
         self.on_changed()
 
     def namings(self, model: str) -> list[tuple[float, int]]:
-        """Return since when each version of a model's weights is known, the latest last."""
+        """Return when each version of a model's weights became known, the latest last."""
         return self._known_since.get(model, [])
 
     def ages_ms(self, now: float) -> dict[str, list[tuple[int, int]]]:
-        """Return for each model how long its last versions have been known, in milliseconds."""
+        """Return for each model how long its latest versions have been known, in milliseconds."""
         return {
             model: [(version, int((now - since) * 1000)) for since, version in history[-TOLD:]]
             for model, history in self._known_since.items()
         }
 
     def learn_ages(self, ages_ms: dict[str, list[tuple[int, int]]], now: float) -> None:
-        """Take in since when another router has known of versions."""
+        """Merge how long another router has known of versions."""
         for model, ages in ages_ms.items():
             history = dict((version, since) for since, version in self._known_since.get(model, ()))
             for version, age_ms in ages:
@@ -187,7 +189,7 @@
     def oldest_allowed(self, model: str, bound_s: float, now: float) -> int:
         """Return the newest version known for longer than ``bound_s``, or 0.
 
-        Older ones may no longer begin requests.
+        New requests must not use an older version.
         """
         due = [v for since, v in self._known_since.get(model, ()) if now - since > bound_s]
         return max(due, default=0)
@@ -198,7 +200,7 @@
 
 
 def decoded(stored: Raw, read: Callable[[Raw], Read]) -> Read | None:
-    """Decode an object; one that cannot be understood is logged and left out."""
+    """Decode an object; return None and log a failure if it cannot be decoded."""
     try:
         return read(stored)
     except UnreadableError as exc:
--- a/src/martenrun/router/knowledge_feed.py
+++ b/src/martenrun/router/knowledge_feed.py
@@ -1,4 +1,4 @@
-"""Feeds what is read of the platform's store into the router's knowledge."""
+"""Applies changes in the platform's store to the router's state."""
 
 from collections.abc import Callable, Mapping
 
@@ -10,12 +10,12 @@
 
 
 class KnowledgeFeed:
-    """The copies of the store's datasets, and what becomes of their changes.
+    """Replicas of the store's datasets, and the handlers of their changes.
 
-    Objects that cannot be read are counted as ``objects_unreadable``.
+    Objects that cannot be decoded are counted as ``objects_unreadable``.
 
     Args:
-        on_runners_settled: called after changes of runners have been taken in.
+        on_runners_settled: called after changes of runners have been applied.
     """
 
     def __init__(
@@ -37,13 +37,13 @@
         }
 
     def confirm(self) -> None:
-        """Take in when the copy of the configuration was last confirmed."""
+        """Record when the replica of the configuration was last confirmed."""
         confirmed_at = self.copies[Dataset.CONFIGURATION].confirmed_at
         if confirmed_at is not None:
             self._world.configuration.confirm(confirmed_at)
 
     def put_configuration(self, stored: StoredObject) -> None:
-        """Put a configuration in force, unless it cannot be read or a newer one has come."""
+        """Put a configuration in force, unless it cannot be decoded or a newer one is known."""
         if stored.revision < self._newest_revision:
             return
         self._newest_revision = stored.revision
@@ -55,7 +55,7 @@
             self._world.configuration.take(configuration)
 
     def _put_runner(self, stored: StoredObject) -> None:
-        """Take an entry in; one that cannot be read names no runner, whatever it named before."""
+        """Update a runner; an entry that cannot be decoded removes the runner it listed before."""
         runner = decoded(stored, self._world.dialect.read_runner)
         if runner is None:
             self._count_unreadable(Dataset.RUNNERS)
--- a/src/martenrun/router/known_router.py
+++ b/src/martenrun/router/known_router.py
@@ -1,26 +1,26 @@
-"""What one router knows of another: its record, and when it was last heard of."""
+"""State that a router keeps about another one: its record, heartbeat and liveness."""
 
 from martenrun.router.peer_messages import RouterRecord, RunnerLoad, life_number
 
 READING_BELIEVED_S = 3.0
-"""For how long a prompt is believed to be still read of which nothing more is told, in seconds.
+"""Time after which a prompt without updates no longer counts as pending prefill, in seconds.
 
-A datagram that says that it has been read may be lost, many where a link is full: the next record
-comes some 10 s later among 195 routers, and meanwhile runners that have nothing to do would count
-as too busy for one more prompt.  Routers tell again of prompts that are read for longer.
+The datagram that reports the end of a prefill may be lost, mostly on congested links.  The next
+record arrives about 10 s later among 195 routers; until then idle runners would look too busy for
+another prompt.  For prompts whose prefill takes longer, routers repeat the update.
 """
 
 
 class KnownRouter:
-    """A record, and the last beat heard of its router, which may be a later one.
+    """A router's record and its latest heartbeat, which may be newer than the record.
 
     Attributes:
-        life: the number of its life.
-        told_at: when the record's own beat was raised by its router.
-        beat, beaten_at: the last beat, and when it was raised.
-        risen_at: when that was noticed here: whether the router counts as alive goes by it.
-        was_alive: whether it counted as alive when that was last looked at.
-        readings_at: when its load at each runner was told, for those told since the record.
+        life: incarnation ID.
+        told_at: when the router advanced the heartbeat in ``record``.
+        beat, beaten_at: the latest heartbeat, and when the router advanced it.
+        risen_at: when that was noticed on this router; liveness depends on it.
+        was_alive: whether it counted as alive at the last check.
+        readings_at: when its load on each runner was reported, for reports after the record.
     """
 
     __slots__ = (
@@ -51,14 +51,14 @@
         self.readings_at.clear()
 
     def end_readings(self, now: float) -> None:
-        """Believe no longer that prompts are still read of which nothing was told for long."""
+        """Clear the pending prefill of runners whose load was not updated for long."""
         for instance, load in self.record.loads.items():
             told_at = self.readings_at.get(instance, self.told_at)
             if load.tokens_to_read and now - told_at > READING_BELIEVED_S:
                 self.record.loads[instance] = RunnerLoad(load.requests, 0, load.tokens_held)
 
     def hear(self, beat: int, beaten_at: float, risen_at: float) -> None:
-        """Take in a beat of the life that is known; of one beat the oldest age is the true one."""
+        """Merge a heartbeat of this incarnation; for equal heartbeats the highest age is right."""
         if beat > self.beat:
             self.beat = beat
             self.beaten_at = beaten_at
--- a/src/martenrun/router/news.py
+++ b/src/martenrun/router/news.py
@@ -1,4 +1,4 @@
-"""Handles news from other routers and selects the news sent to newly discovered ones."""
+"""Dispatches updates from other routers and selects those sent to newly discovered routers."""
 
 from collections.abc import Sequence
 
@@ -13,7 +13,7 @@
 
 
 def take_news(world: World, roller: WeightsRoller, news: News) -> None:
-    """Dispatch news from another router to the component that handles it."""
+    """Pass an update from another router to the component that handles it."""
     now = world.loop.now()
     if isinstance(news, LeaseNews):
         roller.take_release(news)
@@ -28,7 +28,7 @@
 
 
 def newcomer_news(world: World, routers: int) -> Sequence[News]:
-    """Return the news for a newly discovered router.
+    """Return the updates for a newly discovered router.
 
     Args:
         routers: the number of known routers.
--- a/src/martenrun/router/peer_messages.py
+++ b/src/martenrun/router/peer_messages.py
@@ -1,4 +1,4 @@
-"""What routers tell each other in datagrams, as MessagePack arrays."""
+"""Datagrams exchanged between routers, encoded as MessagePack arrays."""
 
 from collections.abc import Callable
 
@@ -19,12 +19,12 @@
 
 
 class RunnerLoad(msgspec.Struct, array_like=True, frozen=True):
-    """What one router has given a runner to do.
+    """Load that one router has placed on a runner.
 
     Attributes:
-        requests: requests under way there.
-        tokens_to_read: tokens of their prompts that are still to be read.
-        tokens_held: tokens of memory that they take.
+        requests: requests in flight.
+        tokens_to_read: prompt tokens still pending prefill.
+        tokens_held: KV cache tokens used by these requests.
     """
 
     requests: int
@@ -33,18 +33,18 @@
 
 
 class RouterRecord(msgspec.Struct, array_like=True):
-    """What a router tells of itself.
+    """State that a router publishes about itself.
 
-    ``age_ms`` is how long ago the record's own router raised its beat, in milliseconds, as far as
-    the router that tells the record knows; 0 where that router tells of itself.
-    ``lease_revision`` and ``lease_token`` tell of the lease on orders while it holds that, else 0;
-    ``loads`` tells what it has given each runner to do;
-    ``weights`` tells for each model how long the router has known of its last versions, as
+    ``age_ms`` is the time since the router advanced its heartbeat, in milliseconds, as far as the
+    sender of the record knows; 0 in the router's own message.
+    ``lease_revision`` and ``lease_token`` describe the order lease while the router holds it,
+    otherwise 0; ``loads`` maps each runner to the load that the router has placed on it;
+    ``weights`` lists for each model how long the router has known its latest versions, as
     (version, milliseconds).
-    ``reads_store`` says that it reads the store for others; ``capacity`` is the processor that it
-    may use, in cores.
-    ``configurations`` tells which versions of the configuration are in force somewhere, as far as
-    the router knows, as (version, milliseconds since then).
+    ``reads_store`` is set if it reads the store for others; ``capacity`` is the CPU available to
+    it, in cores.
+    ``configurations`` lists the configuration versions in force on some router, as far as this
+    router knows, as (version, milliseconds since then).
     ``quota_stage`` is a :class:`QuotaStage`.
     """
 
@@ -68,11 +68,11 @@
 
 
 class RouterBeat(msgspec.Struct, array_like=True, frozen=True):
-    """The last beat heard of a router, without its record, and how long ago it was raised.
+    """The latest heartbeat of a router and its age, without the record.
 
     Attributes:
-        life: number of the router's life, see :func:`life_number`; 16 bytes a beat instead of 33
-            with address and incarnation.
+        life: incarnation ID, see :func:`life_number`; a heartbeat takes 16 bytes with it instead
+            of 33 with address and incarnation.
         age_ms: as in the record, in milliseconds.
     """
 
@@ -82,26 +82,26 @@
 
 
 def life_number(address: str, incarnation: int) -> int:
-    """Return a number of 64 bits for one life of a router, alike at all routers."""
+    """Return a 64-bit ID of one incarnation of a router, identical on all routers."""
     return weight(b"%d" % incarnation, address)
 
 
 class Gossip(msgspec.Struct, array_like=True, tag="gossip"):
-    """Records, the sender's first, and beats of routers whose records do not fit in."""
+    """Records, the sender's first, and heartbeats of routers whose records do not fit."""
 
     records: list[RouterRecord]
     beats: list[RouterBeat] = []
 
 
 class RecordsWanted(msgspec.Struct, array_like=True, tag="wanted"):
-    """Asks for records that ``asker`` lacks, of lives of which it has heard beats only."""
+    """Request for records that ``asker`` is missing, of incarnations known by heartbeat only."""
 
     asker: str
     lives: list[int]
 
 
 class WeightsNews(msgspec.Struct, array_like=True, tag="load"):
-    """Runners begin to load a version of a model's weights, or have it now."""
+    """Runners start to load a version of a model's weights, or have loaded it."""
 
     instances: list[str]
     model: str
@@ -110,7 +110,7 @@
 
 
 class LeaseNews(msgspec.Struct, array_like=True, tag="lease"):
-    """A router has given the lease on orders up, ``idle_ms`` after its last order."""
+    """A router released the order lease, ``idle_ms`` after its last order."""
 
     holder: str
     fencing_token: int
@@ -119,7 +119,7 @@
 
 
 class ReadingNews(msgspec.Struct, array_like=True, tag="reading"):
-    """What a router has given one runner to do by now: a part of its next record, sent ahead."""
+    """Load on one runner, sent ahead of the router's next record."""
 
     address: str
     incarnation: int
@@ -129,17 +129,17 @@
 
 
 class SilenceNews(msgspec.Struct, array_like=True, tag="silence"):
-    """A router hears nothing from a runner that owes it answers, while it hears from others."""
+    """A runner is unresponsive to a router that still receives data from other runners."""
 
     address: str
     instance: str
 
 
 class ZoneLoads(msgspec.Struct, array_like=True, tag="zone"):
-    """Sums of what all routers of a zone have given runners to do, by zone and instance.
+    """Total load that all routers of a zone have placed on runners, by zone and instance.
 
     Attributes:
-        is_passed_on: a router of the listener's own zone passes on what another zone told.
+        is_passed_on: whether a router of the receiver's own zone forwards another zone's message.
     """
 
     zones: dict[str, dict[str, RunnerLoad]]
@@ -165,7 +165,7 @@
 )
 
 decode: Callable[[bytes], Message] = msgspec.msgpack.Decoder(Message).decode
-"""Read a datagram; raises msgspec.MsgspecError if it is no message."""
+"""Decode a datagram; raises msgspec.MsgspecError if it is invalid."""
 
 encode: Callable[[Message], bytes] = msgspec.msgpack.Encoder().encode
-"""Return a message as a datagram."""
+"""Encode a message as a datagram."""
--- a/src/martenrun/router/peers.py
+++ b/src/martenrun/router/peers.py
@@ -1,8 +1,8 @@
-"""The routers of a deployment, known to each other by gossip over UDP.
+"""Gossip membership among the routers of a deployment, over UDP.
 
-Every router raises the beat of its own record and sends the records it knows to a few others at
-a time; newer records replace older ones.  A record whose beat has not risen for a while counts as
-dead.  Loads of runners travel in the records; news that cannot wait goes to all at once.
+Every router advances the heartbeat in its own record and periodically sends the records it knows
+to a few others; newer records replace older ones.  A router whose heartbeat has not advanced for a
+while counts as dead.  Runner loads travel in the records; urgent updates are broadcast at once.
 """
 
 import math
@@ -36,62 +36,64 @@
 from martenrun.router.router_table import RouterTable
 
 GOSSIP_INTERVAL_S = 0.3
-"""How often a router of a small deployment sends its records, in seconds."""
+"""Interval between gossip rounds in a small deployment, in seconds."""
 
 RECORDS_PER_DATAGRAM = 16
-"""Most records in one datagram; the newest go first."""
+"""Maximum number of records in one datagram; the newest are sent first."""
 
 RECORDS_AMONG_MANY = 8
-"""Most records in one datagram that holds beats as well."""
+"""Maximum number of records in one datagram that also carries heartbeats."""
 
 BEATS_PER_DATAGRAM = 256
-"""Most beats in one datagram, of some 16 bytes each; those noticed last where there are more."""
+"""Maximum number of heartbeats in one datagram, about 16 bytes each; the most recent go first."""
 
 NEAR_TARGETS = 2
 FAR_SHARE = 0.5
-"""Routers of the own zone told in each interval where there are many, and how often one of another.
+"""Gossip targets per round in a large deployment: routers of the own zone, and how often another.
 
-Bytes between zones are the dear ones.  Without requests, 195 routers in five zones, none of the
-living counted as dead in 8 s: half of 1 with one near router instead of two 6 in 10,000.
+Traffic between zones is more expensive.  With 195 routers in five zones and no requests, no live
+router was declared dead in 8 s; with one target in the own zone instead of two, half of 1 to 6 in
+10,000 were.
 """
 
 WANTED_AT_ONCE = 32
-"""Most records asked for at a time, answered in two datagrams."""
+"""Maximum number of records per request; the response takes two datagrams."""
 
 WANTED_AGAIN_S = 0.5
-"""Time after which a record that did not come is asked for again, in seconds."""
+"""Time after which a missing record is requested again, in seconds."""
 
 TOLD_AGAIN_S = 0.5
-"""Shortest time between two tellings of the own record to all, where one may wait, in seconds."""
+"""Minimum interval between broadcasts of the own record that may be delayed, in seconds."""
 
 UNKNOWN_COUNT = 16
-"""Routers reckoned with until others have been heard for SETTLING_S seconds."""
+"""Assumed number of routers until others have been heard from for SETTLING_S seconds."""
 
 SETTLING_S = 2.0
 
 LONGEST_DATAGRAM = 60_000
 
 News = WeightsNews | LeaseNews | SilenceNews | BlameNews | LimitNews
-"""What is told to all routers at once."""
+"""Messages that are broadcast to all routers at once."""
 
 DATAGRAMS_PER_ROUND = 64
-"""Datagrams read before others are served; what is left waits for the next round."""
+"""Datagrams read before the loop serves other sockets; the rest wait for the next round."""
 
 
 class Peers:
-    """Keeps the table current and carries news.
+    """Exchanges gossip and updates with the other routers.
 
     Args:
-        loop: the loop it is served on.
-        own: this router's record; its beat rises here.
+        loop: the event loop.
+        own: this router's record, whose heartbeat is advanced here.
         seeds: addresses to send to while no other router is known.
-        refresh: fills in what changes in the own record before it is sent.
-        on_news: called with news that went to all routers at once.
-        on_records: called after records were taken in.
-        on_reading: called with a runner's instance once a router's load there has been taken in.
-        on_sums: called with sums of loads over other zones.
-        newcomer_news: returns what a router heard of for the first time is told, of so many.
-        on_quota: called with what is asked or told of tenants' rates.
+        refresh: updates the own record before it is sent.
+        on_news: called with each update that another router broadcast.
+        on_records: called after records have been merged.
+        on_reading: called with a runner's instance after another router's load on it was merged.
+        on_sums: called with load totals of other zones.
+        newcomer_news: returns the updates for a newly discovered router, given the number of known
+            routers.
+        on_quota: called with messages about tenant rates.
     """
 
     def __init__(
@@ -131,7 +133,7 @@
         return self.table.own
 
     def start(self) -> None:
-        """Begin to tell others of this router."""
+        """Start the periodic gossip."""
         self._tick()
 
     def live(self) -> list[RouterRecord]:
@@ -139,44 +141,44 @@
         return self.table.live(self._loop.now())
 
     def silent_since(self) -> list[float]:
-        """Return when each router that counts as dead was last heard of, in steady seconds."""
+        """Return the monotonic time of the last sign of life of each router that counts as dead."""
         return self.table.silent_since(self._loop.now())
 
     def budget_count(self) -> int:
-        """Return among how many routers a common budget is to be shared."""
+        """Return the number of routers that share a common budget."""
         known = self.table.count()
         return known if self.is_settled() else max(UNKNOWN_COUNT, known)
 
     def is_settled(self) -> bool:
-        """Whether other routers have been heard for long enough to know most of them."""
+        """Return whether other routers have been heard from long enough to know most of them."""
         since = self._heard_since
         return since is not None and self._loop.now() - since > SETTLING_S
 
     def tell_all(self, news: News) -> None:
-        """Send news to every router known."""
+        """Broadcast an update to all known routers."""
         self._send_to(self.table.addresses(), news)
 
     def tell_reading(self, instance: str, load: RunnerLoad) -> None:
-        """Tell other routers of this router's load at one runner, at once."""
+        """Send this router's load on one runner to the other routers at once."""
         own = self.own
         own.beat += 1
         news = ReadingNews(own.address, own.incarnation, own.beat, instance, load)
         self._send_to(self.table.told_at_once(), news)
 
     def tell_sums(self, addresses: list[str], sums: ZoneLoads) -> None:
-        """Send sums of loads to some routers."""
+        """Send load totals to some routers."""
         self._send_to(addresses, sums)
 
     def tell(self, addresses: list[str], message: QuotaMessage) -> None:
-        """Send what is asked or told of tenants' rates to some routers."""
+        """Send a message about tenant rates to some routers."""
         self._send_to(addresses, message)
 
     def tells_own_zone_only(self) -> bool:
-        """Whether routers of other zones are too many to be told of each reading."""
+        """Return whether load updates go only to the own zone because there are many routers."""
         return self.table.is_large()
 
     def now(self) -> float:
-        """Return the steady clock, in seconds."""
+        """Return the monotonic time in seconds."""
         return self._loop.now()
 
     def introduce(self, addresses: list[str]) -> None:
@@ -185,13 +187,13 @@
         self._send_to(addresses, Gossip([self.own]))
 
     def tell_now(self) -> None:
-        """Send the own record to every router known, at once."""
+        """Send the own record to all known routers at once."""
         self._raise_own()
         self._told_at = self._loop.now()
         self._send_to(self.table.addresses(), Gossip([self.own]))
 
     def tell_soon(self) -> None:
-        """The same, at once unless that was done a moment ago: then a moment later."""
+        """Send the own record to all known routers, at most once per TOLD_AGAIN_S."""
         left_s = self._told_at + TOLD_AGAIN_S - self._loop.now()
         if self._tells_later:
             return
@@ -228,7 +230,7 @@
         return Gossip([self.own, *self.table.newest(most - 1, now)], beats)
 
     def _beats(self, now: float) -> list[RouterBeat]:
-        """Return the beats to be told beside records: none where all records fit in."""
+        """Return the heartbeats to send next to the records; none if all records fit."""
         if self.table.count() <= RECORDS_PER_DATAGRAM:
             return []
         return self.table.beats(BEATS_PER_DATAGRAM, now)
@@ -270,10 +272,10 @@
             return
 
     def _receive(self) -> None:
-        """Read what has come, with the earliest time at which it may have arrived."""
+        """Handle the waiting datagrams, with the earliest time at which they may have arrived."""
         late_s = self._loop.late_s + self._unread_late_s
-        # Fixed before the first read: however long the process stands still between two of them,
-        # what it reads after that may have waited since then.
+        # Computed before the first read: if the process is suspended between two reads, datagrams
+        # read afterwards may have been waiting since this time.
         arrived_at = self._loop.now() - late_s
         for _ in range(DATAGRAMS_PER_ROUND):
             try:
@@ -327,7 +329,7 @@
             self._ask_for(lacking, sender.address, now)
 
     def _ask_for(self, lacking: list[int], teller: str, now: float) -> None:
-        """Ask who told beats for the records that are lacking, of a few at a time."""
+        """Request missing records from the router that sent the heartbeats, some at a time."""
         wanted = [
             life for life in lacking if now - self._wanted_at.get(life, -math.inf) >= WANTED_AGAIN_S
         ][:WANTED_AT_ONCE]
@@ -339,7 +341,7 @@
             self._send(teller, encode(RecordsWanted(self.own.address, wanted)))
 
     def _give(self, wanted: RecordsWanted, now: float) -> None:
-        """Send the records that another router lacks."""
+        """Send records that another router requested."""
         records = self.table.records_of(wanted.lives[:WANTED_AT_ONCE], now)
         most = RECORDS_PER_DATAGRAM - 1
         for first in range(0, len(records), most):
@@ -347,8 +349,8 @@
 
 
 def first_incarnation() -> int:
-    """Return an incarnation that is usually newer than those of earlier lives.
+    """Return an incarnation that is usually newer than those of earlier runs of this router.
 
-    It is taken from the wall clock; where that has gone back, the table raises it.
+    It is derived from the wall clock; if that has gone back, the router table raises it.
     """
     return int(time.time() * 1000)
--- a/src/martenrun/router/readers.py
+++ b/src/martenrun/router/readers.py
@@ -1,8 +1,8 @@
-"""Which routers read the platform's store for all: pure choices by rendezvous hashing.
+"""Selects the routers that read the platform's store for all, by rendezvous hashing.
 
-Routers that read say so in their records, and go on as long as they can: who starts, or knows only
-some of the others, follows those that read and does not begin by itself.  So the number of readers
-depends on hearing of them, not on every router having the same table of all.
+Readers announce it in their records and keep the role as long as they can; a router that starts,
+or knows only some of the others, follows them instead of starting to read.  So the number of
+readers depends on their announcements, not on identical tables on all routers.  Free of I/O.
 """
 
 import math
@@ -14,44 +14,44 @@
 from martenrun.identity.rendezvous import weight
 
 READERS = 2
-"""Routers that read the store while all is well."""
+"""Number of store readers in normal operation."""
 
 READERS_IN_OUTAGE = 5
-"""Routers that go on asking for the store while none of them reaches it."""
+"""Number of routers that keep retrying while none of them reaches the store."""
 
 FAILED_MEMORY_S = 1.5
-"""How long a router that gave no good answer is asked after the others, in seconds."""
+"""How long a router is queried after the others once a query to it failed, in seconds."""
 
 UNREACHED_S = 1.2
-"""Time without any answer of a reader from which some router reads by itself, in seconds."""
+"""Time without any response from a reader after which some router starts to read, in seconds."""
 
 UNREACHED_SPREAD_S = 0.2
-"""How far apart routers that reach no reader begin to read, in seconds for a factor of e.
+"""Spread of the times at which routers that reach no reader start to read, in seconds per factor e.
 
-Among n routers the first begin at once and the last after ln(n) times that, a few times as many in
-each further 0.2 s.  The first tell the others, who then follow them: of 195 routers whose readers
-have all gone 6 on average have begun 0.2 s after the first, and all have after 1.1 s if none hears
-of another.
+Among n routers the first start at once and the last after ln(n) times this, a few times as many in
+each further 0.2 s.  The first announce it and the others then follow them: if the readers of 195
+routers all die, on average 6 have started 0.2 s after the first, and all have after 1.1 s if none
+learns of another.
 """
 
 UNKNOWN_ROUTERS = 64
-"""Among how many others a router that knows of none spreads the time at which it begins."""
+"""Number of routers for which a router that knows no other spreads its start."""
 
 VACANCY_S = 2.0
-"""For how long a router whose questions are answered is to be among the chosen before it reads.
+"""How long a router that still gets responses must be among the chosen before it starts to read.
 
-It may only not have heard yet of those that read; nothing is late meanwhile.
+It may just not have learned of the current readers yet; its state stays current meanwhile.
 """
 
 STRONG_SHARE = 0.5
-"""Share of the strongest router's capacity from which a router counts as strong."""
+"""Share of the highest capacity from which a router counts as strong."""
 
 
 def strong_first(duty: bytes, capacities: Mapping[str, float]) -> list[str]:
-    """Return routers in the order in which they take a duty on: the strong ones, then by hashing.
+    """Return routers in order of preference for a duty: strong ones first, then by hashing.
 
     Args:
-        capacities: processor that each router may use, by its address, in cores.
+        capacities: CPU available to each router in cores, by address.
     """
     strongest = max(capacities.values(), default=0.0)
 
@@ -67,8 +67,8 @@
 
     Attributes:
         can_read: it has not lost the store.
-        reads: it says that it reads the store.
-        capacity: processor that it may use, in cores.
+        reads: it announces that it reads the store.
+        capacity: CPU available to it, in cores.
     """
 
     address: str
@@ -79,17 +79,17 @@
 
 @attrs.frozen
 class ReadingPlan:
-    """How a router keeps its knowledge current: from the store, or from another router."""
+    """How a router keeps its state current: from the store, from another router, or from both."""
 
     reads_store: bool
     source: str | None
 
 
 def chosen_readers(candidates: Sequence[Candidate]) -> list[str]:
-    """Return the addresses of the readers, the first one first.
+    """Return the addresses of the readers, the preferred one first.
 
-    Those that read go before those that could, so that nobody begins while there are enough; among
-    equals the strong go first, since each reader answers many followers.
+    Current readers go before other candidates, so that no router starts to read while there are
+    enough; otherwise strong routers go first, since each reader serves many followers.
     """
     able = [candidate for candidate in candidates if candidate.can_read]
     if able:
@@ -104,12 +104,12 @@
 
 
 class ReaderChoice:
-    """Plans the reading of one router; remembers which readers answered lately.
+    """Plans the reads of one router; remembers which readers responded recently.
 
     Args:
-        seeds: routers to ask while no other one is known; without any, or if this router is one of
-            them, it reads the store at once.
-        rng: draws when this router begins to read if it reaches no reader, and whom it asks.
+        seeds: routers to query while no other one is known; without any, or if this router is one
+            of them, it reads the store at once.
+        rng: chooses when this router starts to read if it reaches no reader, and whom it queries.
     """
 
     def __init__(
@@ -132,17 +132,17 @@
         self._lot = self._rng.random()
 
     def note_reached(self, now: float, is_served: bool = True) -> None:
-        """Take in that a reader answered, if only that it has lost the store (not served)."""
+        """Record a response from a reader; unserved if it only reports that it lost the store."""
         self._reached_at = now
         self._is_served = is_served
         self._lot = self._rng.random()
 
     def note_heard(self, now: float) -> None:
-        """Take in that a reader's answer is arriving: it is reached, however long that takes."""
+        """Record that a reader's response is arriving, which may take long: it is reachable."""
         self._reached_at = now
 
     def note_failed(self, address: str, now: float) -> None:
-        """Take in that a router gave no good answer."""
+        """Record that a query to a router failed."""
         self._failed_at[address] = now
         self._is_served = False
 
@@ -151,7 +151,7 @@
         return failed_at is not None and now - failed_at < FAILED_MEMORY_S
 
     def _as_seen(self, candidate: Candidate, now: float) -> Candidate:
-        """Return a candidate as one that cannot read, if it gave no good answer lately."""
+        """Return the candidate, marked as unable to read if a query to it failed recently."""
         if self._has_failed(candidate.address, now):
             return attrs.evolve(candidate, can_read=False)
         return candidate
@@ -159,11 +159,11 @@
     def plan(
         self, candidates: Sequence[Candidate], now: float, knows_all: bool = True
     ) -> ReadingPlan:
-        """Return how to go on.
+        """Return the next read plan.
 
         Args:
-            candidates: all live routers, this one included.
-            knows_all: whether this router knows something of every dataset.
+            candidates: all live routers, including this one.
+            knows_all: whether this router has some state of every dataset.
         """
         substitutes = chosen_readers([self._as_seen(item, now) for item in candidates])
         if self._own not in substitutes:
@@ -173,7 +173,7 @@
         if self._may_read(len(candidates), now, knows_all):
             self._reads = True
             self._reached_at = now
-            # The store may be down: while nothing is known, another router may help out as well.
+            # The store may be down: without any state, query another router as well.
             helper = None if knows_all else self._source([], candidates, now, knows_all)
             return ReadingPlan(True, helper)
         readers = self._in_own_order(chosen_readers(candidates))
@@ -183,18 +183,18 @@
         return ReadingPlan(self._reads, source)
 
     def _may_read(self, count: int, now: float, knows_all: bool) -> bool:
-        """Whether this router reads, or begins to, because it is one of the chosen."""
+        """Return whether this router reads, or starts to, because it is among the chosen."""
         if self._chosen_since is None:
             return False
         if self._reads or not self._seeds or (self._is_seed and not knows_all):
             return True
         if not knows_all or now - self._began_at < VACANCY_S:
-            # Whoever has just started knows too few of the others to tell who is chosen.
+            # A router that has just started knows too few others to determine the chosen ones.
             return self._is_out_of_reach(count, now)
         return not self._is_served or now - self._chosen_since >= VACANCY_S
 
     def _is_out_of_reach(self, count: int, now: float) -> bool:
-        """Whether no reader has answered for so long that this router reads by itself."""
+        """Return whether no reader has responded for so long that this router starts to read."""
         routers = count if count > 1 else UNKNOWN_ROUTERS
         later_s = UNREACHED_SPREAD_S * (math.log(routers) + math.log(max(self._lot, 1 / routers)))
         return now - self._reached_at > UNREACHED_S + later_s
@@ -202,10 +202,10 @@
     def _source(
         self, readers: list[str], candidates: Sequence[Candidate], now: float, knows_all: bool
     ) -> str | None:
-        """Return the router to ask: a reader, else a seed while nothing is known, else any."""
+        """Return the router to query: a reader, else a seed while state is missing, else any."""
         ordered = readers
         if not knows_all or not ordered:
-            # Any router may help out with old knowledge, also one that has lost the store.
+            # Any router may help with old state, even one that has lost the store.
             reading = {item.address for item in candidates if item.reads}
             known = [item.address for item in candidates if item.address != self._own]
             ordered = [item for item in ordered if item in reading] + self._shuffled(self._seeds)
@@ -214,7 +214,7 @@
         return next(iter(sound or ordered), None)
 
     def _in_own_order(self, readers: Sequence[str]) -> list[str]:
-        """Return readers in an order that differs from router to router."""
+        """Return readers in an order that differs between routers, to spread the load."""
         others = [address for address in readers if address != self._own]
         return sorted(others, key=lambda item: weight(self._own.encode(), item))
 
--- a/src/martenrun/router/relay.py
+++ b/src/martenrun/router/relay.py
@@ -1,8 +1,8 @@
-"""Knowledge passed between routers, so that few of them read the platform's store.
+"""Relays store state between routers, so that only a few of them read the platform's store.
 
-A router that does not read the store asks one that does for what has changed since a number of
-that router's copy; the answer is held back until there is something, and tells how old the
-knowledge is.  This is the side that answers; :mod:`martenrun.router.relay_follower` asks.
+A router that is no store reader asks a reader for the changes after a sequence number of the
+reader's replica.  The response is delayed until there is a change and contains the age of the
+state.  This module is the serving side; :mod:`martenrun.router.relay_follower` is the client.
 """
 
 from collections.abc import Callable, Mapping
@@ -26,13 +26,13 @@
 )
 
 OLDEST_RELAYED_S = 3.0
-"""Age from which knowledge is not passed on any more, in seconds."""
+"""Age from which state is no longer relayed, in seconds."""
 
 Copies = Mapping[Dataset, DatasetCopy]
 
 
 class HeldQuestion:
-    """A question whose answer is held back."""
+    """A query whose response waits for a change."""
 
     def __init__(self, exchange: Exchange, question: FollowQuestion, asked_at: float) -> None:
         self.exchange = exchange
@@ -41,12 +41,12 @@
 
 
 class RelaySource:
-    """Answers other routers' questions from this router's copies.
+    """Serves queries of other routers from this router's replicas.
 
     Args:
-        life: number of this life of the router; numbers of other lives mean nothing.
-        may_relay: whether this router is current, by reading the store or following who does.
-        has_lost_store: whether it had no good answer of the store lately.
+        life: this router's incarnation; sequence numbers of other incarnations are not comparable.
+        may_relay: whether this router is current, as a reader or by following one.
+        has_lost_store: whether its requests to the store fail.
         reads_store: whether it reads the store itself.
     """
 
@@ -69,7 +69,7 @@
         self._changes = {dataset: PackedChanges(copy) for dataset, copy in copies.items()}
 
     def serve(self, exchange: Exchange) -> None:
-        """Answer a question now or later."""
+        """Respond to a query, at once or after the next change."""
         try:
             question = QUESTION.decode(exchange.request.body)
         except msgspec.MsgspecError:
@@ -87,12 +87,12 @@
         self._loop.call_later(question.hold_ms / 1000.0, lambda: self._answer(held))
 
     def drop_held(self) -> None:
-        """Send the questions that wait to another router: this one has lost the store."""
+        """Refuse all waiting queries, because this router has lost the store."""
         for held in list(self._held):
             self._answer(held)
 
     def copies_changed(self) -> None:
-        """Answer the questions that wait for what has changed."""
+        """Respond to waiting queries for which there are changes."""
         for held in [held for held in self._held if self._has_changed(held.question)]:
             self._answer(held)
 
@@ -142,7 +142,7 @@
 
 
 class PackedChanges:
-    """Packs each change of a copy once for all followers that lack the same."""
+    """Encodes each range of changes of a replica once for all followers that request it."""
 
     def __init__(self, copy: DatasetCopy) -> None:
         self._copy = copy
@@ -150,7 +150,7 @@
         self._packed: dict[int | None, tuple[bytes, bool]] = {}
 
     def after(self, number: int | None, now: float) -> tuple[bytes, bool]:
-        """Return what has changed after a number, and whether that is the whole copy."""
+        """Return the changes after a sequence number, and whether they are a snapshot."""
         copy = self._copy
         if self._number != copy.number:
             self._number = copy.number
@@ -160,7 +160,7 @@
             changes = None if number is None else copy.changes_after(number)
             found = packed(_relayed_objects(copy, changes, now)), changes is None
             if not copy.has_missing:
-                # For how long an object is missing is told anew to each.
+                # The time for which an object has been missing differs in each response.
                 self._packed[number] = found
         return found
 
--- a/src/martenrun/router/relay_follower.py
+++ b/src/martenrun/router/relay_follower.py
@@ -1,4 +1,4 @@
-"""Follows another router's knowledge of the platform's store: asks what has changed, in turns."""
+"""Follows another router's replicas of the platform's store, by long polling for changes."""
 
 import zlib
 from collections.abc import Callable
@@ -24,25 +24,25 @@
 from martenrun.router.store_client import HttpCaller
 
 HOLD_S = 0.8
-"""How long an answer is held back while nothing has changed, in seconds."""
+"""How long the other router may delay a response while nothing has changed, in seconds."""
 
 ANSWER_TIMEOUT_S = 0.6
-"""How long an answer may not even begin beyond that, in seconds."""
+"""Timeout for the start of a response beyond that, in seconds."""
 
 NEW_TIMEOUT_S = 0.4
-"""How long an answer to a router that knows nothing yet may not even begin, in seconds."""
+"""Timeout for the start of a response to a router that has no state yet, in seconds."""
 
 
 class RelayFollower:
-    """Keeps copies current from another router, while it is wanted.
+    """Keeps replicas current from another router while running.
 
     Args:
-        source: returns the address of the router to ask now, or None.
-        on_taken: called after each answer that was taken in whole.
-        on_failed: called with the address of a router that gave no good answer, and whether it
-            said that it has lost the store.
-        on_heard: called whenever a part of an answer has come.
-        caller: makes what calls one address.
+        source: returns the address of the router to query now, or None.
+        on_taken: called after each response that was applied completely.
+        on_failed: called with the address of a router to which a query failed, and whether that
+            router reported that it has lost the store.
+        on_heard: called whenever a part of a response arrives.
+        caller: creates the client for one address.
     """
 
     def __init__(
@@ -71,20 +71,20 @@
         self.is_running = False
 
     def follows_reader(self) -> bool:
-        """Whether this router now follows one that reads the store itself, and hears from it."""
+        """Return whether the router that this one follows is a store reader and responds."""
         heard_at = self._reader_heard_at
         if not self.is_running or heard_at is None:
             return False
         return self._loop.now() - heard_at <= HOLD_S + ANSWER_TIMEOUT_S
 
     def start(self) -> None:
-        """Begin to follow, unless it does already."""
+        """Start to follow, unless already running."""
         self.is_running = True
         if not self._is_asking:
             self._ask()
 
     def stop(self) -> None:
-        """Stop; the answer under way is still taken in."""
+        """Stop; a pending response is still applied."""
         self.is_running = False
 
     def _ask(self) -> None:
@@ -104,7 +104,7 @@
         caller = self._callers.get(address)
         if caller is None:
             caller = self._callers[address] = self._caller(self._loop, address)
-        # Who knows nothing is answered at once or not at all.
+        # A router without state gets its response at once or not at all.
         caller.call(
             call,
             NEW_TIMEOUT_S if is_new else HOLD_S + ANSWER_TIMEOUT_S,
@@ -113,7 +113,7 @@
         )
 
     def _hear(self) -> None:
-        """A large answer is on its way: whoever sends it lives."""
+        """Record that a part of a large response arrived, so its sender is alive."""
         if self._reader_heard_at is not None:
             self._reader_heard_at = self._loop.now()
         self._on_heard()
@@ -150,9 +150,9 @@
         objects: list[RelayedObject],
         not_before: float,
     ) -> None:
-        """Take in one dataset; it was answered at ``not_before`` or later."""
+        """Apply one dataset; the response was sent at ``not_before`` or later."""
         if copy.revision is not None and news.revision < copy.revision:
-            # That router is behind: what it tells, its age included, says nothing new.
+            # That router is behind: its changes are outdated, and so is its age.
             return
         now = self._loop.now()
         changed = [
--- a/src/martenrun/router/relay_messages.py
+++ b/src/martenrun/router/relay_messages.py
@@ -1,6 +1,6 @@
-"""What a router asks another for, and what it is told: knowledge of the platform's store.
+"""Queries for store state between routers, and their responses.
 
-Ages count durations only, never times of another machine's clock.
+Ages are durations, never timestamps of another machine's clock.
 """
 
 import zlib
@@ -8,26 +8,26 @@
 import msgspec
 
 FOLLOW_PATH = b"/follow"
-"""Path of the question on the internal interface."""
+"""Path of the query on the internal interface."""
 
 PACKED_FROM_BYTES = 2_048
-"""Size from which objects are compressed on their way.
+"""Size from which encoded objects are compressed.
 
-A configuration of 4,200 routes takes a tenth; 69 routers have it 0.4 s after their two readers
-began to tell it instead of 2.6 s (virtual time, links of 10 and 200 Mbit/s, half of each free).
+A configuration of 4,200 routes shrinks to a tenth; 69 routers have it 0.4 s after their two readers
+start to send it instead of 2.6 s (virtual time, links of 10 and 200 Mbit/s, half of each free).
 """
 
 PACKING_LEVEL = 1
-"""Level of compression: the fastest; the usual one takes a fifth less for twice the time."""
+"""Compression level: the fastest; the default takes a fifth less space for twice the time."""
 
 MOST_UNPACKED_BYTES = 256_000_000
-"""Most bytes that objects take unpacked: more is no answer of a router."""
+"""Maximum size of decompressed objects; no valid response is larger."""
 
 
 class FollowQuestion(msgspec.Struct, array_like=True):
-    """Asks for what has changed; ``numbers`` are those of the answering router's copies.
+    """Query for changes; ``numbers`` are the last sequence numbers of the other router's replicas.
 
-    A router that knows nothing yet ``accepts_old`` knowledge: its age is told in any case.
+    A router without any state ``accepts_old`` state: the response contains the age in any case.
     """
 
     life: int
@@ -37,10 +37,10 @@
 
 
 class RelayedObject(msgspec.Struct, array_like=True):
-    """One object; ``revision`` 0 says that it is gone.
+    """One object; ``revision`` 0 means that it was deleted.
 
-    ``missing_ms`` is for how long the store has no longer listed it, in milliseconds, where it is
-    kept for a time of grace after an outage; None for all others.
+    ``missing_ms`` is set for an object that is missing in the store after an outage and kept for a
+    grace period: for how long it has been missing, in milliseconds.
     """
 
     name: str
@@ -50,9 +50,9 @@
 
 
 class RelayedDataset(msgspec.Struct, array_like=True):
-    """Changes of one dataset, or all of it if ``is_whole``.
+    """Changes of one dataset, or a snapshot if ``is_whole``.
 
-    ``objects`` is a list of :class:`RelayedObject`, packed by :func:`packed`.
+    ``objects`` is a list of :class:`RelayedObject`, encoded by :func:`packed`.
     """
 
     number: int
@@ -63,13 +63,13 @@
 
 
 class FollowAnswer(msgspec.Struct, array_like=True):
-    """What has changed.
+    """Changes since the last query.
 
     Attributes:
-        life: number of this life of the answering router.
-        held_ms: how long the answer was held back, in milliseconds.
+        life: incarnation of the responding router.
+        held_ms: how long the response was delayed, in milliseconds.
         datasets: the changes.
-        is_reader: whether the answering router reads the store itself.
+        is_reader: whether the responding router reads the store itself.
     """
 
     life: int
@@ -79,7 +79,7 @@
 
 
 class FollowRefusal(msgspec.Struct, array_like=True):
-    """Says that a router does not pass knowledge on: it has lost the store, or does not read it."""
+    """Refusal of a router that does not relay: it has lost the store, or is no store reader."""
 
     has_lost_store: bool
 
@@ -91,11 +91,11 @@
 ENCODE = msgspec.msgpack.Encoder().encode
 
 _PLAIN, _COMPRESSED = b"\0", b"\1"
-"""First byte of packed objects: how the rest is to be read."""
+"""First byte of encoded objects: the format of the rest."""
 
 
 def packed(objects: list[RelayedObject]) -> bytes:
-    """Return objects as bytes, many of them compressed."""
+    """Encode objects, compressed if they are large."""
     data = ENCODE(objects)
     if len(data) < PACKED_FROM_BYTES:
         return _PLAIN + data
@@ -103,7 +103,7 @@
 
 
 def unpacked(data: bytes) -> list[RelayedObject]:
-    """Read packed objects; raises msgspec.MsgspecError or zlib.error if they are none."""
+    """Decode objects; raises msgspec.MsgspecError or zlib.error if the data is invalid."""
     rest = data[1:]
     if data[:1] == _COMPRESSED:
         rest = zlib.decompressobj().decompress(rest, MOST_UNPACKED_BYTES)
--- a/src/martenrun/router/router_table.py
+++ b/src/martenrun/router/router_table.py
@@ -1,8 +1,8 @@
-"""The records of all routers: newer ones replace older ones, dead routers are noticed.
+"""The table of known routers: merges their records and detects dead routers.
 
-A record is told on with the age of its beat: the time since its own router raised it, added up over
-all routers that it has passed.  An age never falls by being told, so that nobody who forgets,
-starts or has stood still brings a departed router back.  Pure, apart from the times handed in.
+A record is forwarded with the age of its heartbeat: the time since the router advanced it, summed
+over all hops.  Forwarding never lowers an age, so no router that forgets, starts or was suspended
+can revive a departed one.  Free of I/O and clocks: callers pass in the time.
 """
 
 import math
@@ -14,44 +14,44 @@
 
 FULL_RATE_ROUTERS = 16
 SLOWEST_RATE = 2.0
-"""Above so many routers the interval grows with their number, up to SLOWEST_RATE times.
+"""Above this many routers the gossip interval grows with their number, up to SLOWEST_RATE times.
 
-What a router receives then stays the same; at most the news of others gets older.
+The traffic that each router receives then stays constant, while records of others get older.
 """
 
 MOST_TOLD_ROUTERS = 100
-"""Up to so many routers all of them are told of a reading at once; then those of the own zone."""
+"""Up to this many routers each load update goes to all of them, above it to the own zone only."""
 
 DEAD_AFTER_S = 2.0
-"""Time without a newer record until a router of a small deployment counts as dead, in seconds."""
+"""Time without a newer heartbeat after which a router of a small deployment counts as dead."""
 
 MOST_SLOWNESS_OF_DEATH = 2.0
-"""How many times longer that is among many routers, at most."""
+"""Maximum factor by which that time grows in a large deployment."""
 
 ON_ITS_WAY_S = 2.0
-"""Age up to which a newer record counts as risen just now, in seconds; see :meth:`_risen_at`.
+"""Maximum age at which a newer record counts as received in time, see :meth:`_risen_at`.
 
-So long may a record of a living router of a small deployment be on its way, over many others.
+A live router's record may take this long over several hops in a small deployment, in seconds.
 """
 
 FORGOTTEN_AFTER_S = 20.0
-"""Time until a dead router is no longer counted among those that may spend retries, nor told of."""
+"""Time after which a dead router is neither counted for the retry budget nor gossiped about."""
 
 MOST_DEPARTED = 512
-"""Most forgotten routers whose last records are kept; the oldest give way.
+"""Maximum number of forgotten routers whose last records are kept; the oldest are dropped first.
 
-A copy of a record may still be on its way long after its router was forgotten, in the buffer of a
-machine that stood still, say.  Who did not know it any more would take it for a new router.
+A copy of a record may arrive long after its router was forgotten, for example from the buffer of a
+suspended machine.  Without the kept record it would look like a new router.
 """
 
 OVERTAKEN = sys.maxsize
-"""Last beat of a life that a later one at its address has followed."""
+"""Last heartbeat of an incarnation that was replaced by a later one at its address."""
 
 MS_PER_S = 1000.0
 
 
 class RouterTable:
-    """The records of all routers: pure, apart from the times handed in."""
+    """Records of all known routers."""
 
     def __init__(self, own: RouterRecord) -> None:
         self.own = own
@@ -62,12 +62,13 @@
         self._slowness = 1.0
 
     def merge(self, records: list[RouterRecord], now: float, late_s: float = 0.0) -> None:
-        """Take in records, the teller's first.
+        """Merge records, the sender's first.
 
-        A record of this router's address from another life is refuted.
+        A record of this router's address with a higher incarnation is outdated; the own incarnation
+        is raised above it.
 
         Args:
-            late_s: how long the records may have waited here unread, in seconds.
+            late_s: how long the records may have waited unread on this router, in seconds.
         """
         teller = records[0].address if records else ""
         for record in records:
@@ -87,10 +88,10 @@
                     known.take_record(record, beaten_at)
 
     def merge_beats(self, beats: list[RouterBeat], now: float, late_s: float = 0.0) -> list[int]:
-        """Take in beats of routers whose records are known; see :meth:`merge`.
+        """Merge heartbeats of routers whose records are known; see :meth:`merge`.
 
         Returns:
-            Lives that go on, as far as their beats tell, and whose records are lacking.
+            IDs of live incarnations whose records are missing.
         """
         lacking = []
         for told in beats:
@@ -105,21 +106,21 @@
         return lacking
 
     def records_of(self, lives: list[int], now: float) -> list[RouterRecord]:
-        """Return the records of lives that are known, with the ages of their beats."""
+        """Return the known records of these incarnations, with the ages of their heartbeats."""
         found = [self._by_life[life] for life in lives if life in self._by_life]
         for known in found:
             known.record.age_ms = _age_ms(known.told_at, now)
         return [known.record for known in found]
 
     def knows(self, record: RouterRecord) -> bool:
-        """Whether the life of a router that a record is of is known, or a later one."""
+        """Return whether the record's incarnation, or a later one at its address, is known."""
         if record.address == self.own.address:
             return True
         known = self._known.get(record.address)
         return known is not None and known.record.incarnation >= record.incarnation
 
     def _add(self, record: RouterRecord, beaten_at: float, now: float) -> None:
-        """Put a router into the table, in place of an earlier life at its address."""
+        """Add a router, replacing an earlier incarnation at its address."""
         earlier = self._known.get(record.address)
         if earlier is not None:
             self._end_life(earlier, OVERTAKEN)
@@ -128,7 +129,7 @@
         self._by_life[known.life] = known
 
     def _end_life(self, known: KnownRouter, last_beat: int) -> None:
-        """Take a life's later beats than its last one for news only."""
+        """Remove an incarnation; only heartbeats above ``last_beat`` can bring it back."""
         del self._by_life[known.life]
         self._ended_lives[known.life] = last_beat
         while len(self._ended_lives) > MOST_DEPARTED:
@@ -137,7 +138,7 @@
     def _take_unknown(
         self, record: RouterRecord, beaten_at: float, teller: str, now: float
     ) -> None:
-        """Take in a router not counted so far, unless it is known to have been dead for long."""
+        """Add an unknown router, unless it has been dead for long."""
         departed = self._departed.get(record.address)
         if departed is not None and _order(record) <= _order(departed):
             return
@@ -156,19 +157,20 @@
         )
 
     def _risen_at(self, beaten_at: float, now: float) -> float:
-        """Return when a newer record counts as risen.
+        """Return the time from which the silence of a newer record's router is counted.
 
-        A record passes many routers until all have it, the more the larger the deployment, so that
-        its age says little while it is small.  Older ones were not on their way, but kept by
-        somebody: they count from their beat.
+        A record takes several hops to reach all routers, more in a larger deployment, so a small
+        age says little.  Older records were not in transit but stored by some router: for these
+        the heartbeat's own time counts.
         """
         on_its_way_s = ON_ITS_WAY_S * self.slowness()
         return now if now - beaten_at <= on_its_way_s else beaten_at
 
     def later_life(self, record: RouterRecord) -> RouterRecord | None:
-        """Return what is known of a later life at a record's address, or None.
+        """Return the newest known record of a later incarnation at the record's address, or None.
 
-        A router whose wall clock went back begins below its last life and has to hear of that.
+        A router whose wall clock went back starts with an incarnation below its last one and must
+        be sent this record.
         """
         known = self._known.get(record.address)
         newest = self._departed.get(record.address) if known is None else known.record
@@ -177,10 +179,10 @@
         return newest
 
     def take_reading(self, news: ReadingNews, now: float, late_s: float = 0.0) -> bool:
-        """Take in another router's load at one runner; return whether it was newer.
+        """Merge another router's load on one runner; return whether it was newer.
 
         Args:
-            late_s: how long the news may have waited here unread, in seconds.
+            late_s: how long the update may have waited unread on this router, in seconds.
         """
         known = self._known.get(news.address)
         if known is None or news.incarnation != known.record.incarnation:
@@ -205,21 +207,21 @@
         ]
 
     def silent_since(self, now: float) -> list[float]:
-        """Return when each router that counts as dead was last heard of, in steady seconds."""
+        """Return the monotonic time of the last sign of life of each router that counts as dead."""
         dead_after_s = self._dead_after_s()
         return [
             known.risen_at for known in self._known.values() if now - known.risen_at > dead_after_s
         ]
 
     def told(self) -> list[tuple[RouterRecord, float]]:
-        """Return the records of all routers known, each with when its router told it."""
+        """Return the records of all known routers, each with the time of its heartbeat."""
         return [(known.record, known.told_at) for known in self._known.values()]
 
     def _dead_after_s(self) -> float:
         return DEAD_AFTER_S * min(MOST_SLOWNESS_OF_DEATH, self.slowness())
 
     def note_changes(self, now: float) -> None:
-        """Count the living, end old readings, log who counts as dead now, or as alive again."""
+        """Update the live count, expire old prefill loads and log changes in liveness."""
         for known in self._known.values():
             known.end_readings(now)
         longest_s = DEAD_AFTER_S * MOST_SLOWNESS_OF_DEATH
@@ -242,15 +244,15 @@
                 )
 
     def oldest_alive_s(self, now: float) -> float:
-        """Return for how long the most silent of the routers that count as alive has not risen."""
+        """Return the longest silence among the routers that count as alive, in seconds."""
         dead_after_s = self._dead_after_s()
         silent_s = [now - known.risen_at for known in self._known.values()]
         return max((item for item in silent_s if item <= dead_after_s), default=0.0)
 
     def newest(self, count: int, now: float) -> list[RouterRecord]:
-        """Return records with the ages of their beats: of routers with a duty, then the newest.
+        """Return records with the ages of their heartbeats: routers with a duty, then the newest.
 
-        Whoever does not hear of those that read the store or order weights would do so as well.
+        A router that does not know the store readers or the lease holder would take over the duty.
         """
 
         def order(known: KnownRouter) -> tuple[bool, float]:
@@ -264,10 +266,10 @@
         return [known.record for known in ordered[:count]]
 
     def beats(self, most: int, now: float) -> list[RouterBeat]:
-        """Return the last beats of the routers that are alive, those noticed last first.
+        """Return the latest heartbeats of the live routers, the most recent first.
 
-        Among many routers a datagram holds few of the records, so that most would be old before
-        they have passed everybody; beats are short enough to tell all.
+        In a large deployment a datagram holds only some of the records, so most would be outdated
+        before they have reached every router.  Heartbeats are short enough to be sent for all.
         """
         dead_after_s = self._dead_after_s()
         alive = [known for known in self._known.values() if now - known.risen_at <= dead_after_s]
@@ -278,13 +280,13 @@
         ]
 
     def addresses(self) -> list[str]:
-        """Return the addresses of all routers ever heard of and not forgotten."""
+        """Return the addresses of all known routers that have not been forgotten."""
         return list(self._known)
 
     def told_at_once(self) -> list[str]:
-        """Return the addresses of the routers that hear of each reading at once.
+        """Return the addresses of the routers that receive load updates at once.
 
-        Those of the own zone only where there are very many: what each hears stays bounded.
+        In a large deployment only the own zone, to bound the traffic that each router receives.
         """
         if not self.is_large():
             return self.addresses()
@@ -292,11 +294,11 @@
         return [address for address, known in self._known.items() if known.record.zone == zone]
 
     def is_large(self) -> bool:
-        """Whether there are too many routers for all to be told of everything."""
+        """Return whether there are too many routers to send every update to all of them."""
         return self.count() > MOST_TOLD_ROUTERS
 
     def forget_dead(self, now: float) -> None:
-        """Drop routers that have been dead for long."""
+        """Forget routers that have been dead for long."""
         for address, known in list(self._known.items()):
             if now - known.risen_at > FORGOTTEN_AFTER_S:
                 del self._known[address]
@@ -308,21 +310,21 @@
             del self._departed[next(iter(self._departed))]
 
     def slowness(self) -> float:
-        """Return how much longer intervals are than in a small deployment.
+        """Return the factor by which intervals are longer than in a small deployment.
 
-        It goes by the routers that live: those that left shortly do not slow the others down.
+        Only live routers count: those that left recently must not slow down the gossip.
         """
         return self._slowness
 
     def count(self) -> int:
-        """Return how many routers there may be, this one included."""
+        """Return the number of known routers, including this one."""
         return 1 + len(self._known)
 
 
 def longest_named_s(routers: int) -> float:
-    """Return for how long after its last beat a router may count as alive, in seconds.
+    """Return for how long after its last heartbeat a router may count as alive, in seconds.
 
-    Not counted is what a record spends on links on its way.
+    Network delays of the record are not included.
     """
     slowness = _slowness(routers)
     return ON_ITS_WAY_S * slowness + DEAD_AFTER_S * min(MOST_SLOWNESS_OF_DEATH, slowness)
--- a/src/martenrun/router/store_client.py
+++ b/src/martenrun/router/store_client.py
@@ -1,8 +1,8 @@
-"""Calls to the platform's store and to other routers, with time-outs, on kept connections.
+"""HTTP calls to the platform's store and to other routers, with timeouts and keep-alive.
 
-A time-out is a limit on silence, not on the whole answer: how long an answer takes grows with its
-size and with what else the links carry.  Given up shortly before its end it would be asked for
-anew, from nothing, by everybody at a time, and the load would never fall.
+A timeout limits the silence, not the whole response: the duration of a response grows with its size
+and with other traffic on the links.  If responses were abandoned shortly before their end, all
+callers would request them again from the start, and the load would never drop.
 """
 
 from collections.abc import Callable
@@ -14,20 +14,20 @@
 from martenrun.router.messages import HttpCall
 
 MAXIMUM_IDLE_S = 10.0
-"""How long a connection may have rested to be used again, in seconds."""
+"""Maximum idle time after which a connection is reused, in seconds."""
 
 KEPT_CONNECTIONS = 4
-"""Idle connections kept to one address."""
+"""Maximum number of idle connections kept per address."""
 
 
 SILENCE_S = 0.6
-"""How long an answer that has begun may stand still, in seconds."""
+"""Maximum pause within a response, in seconds."""
 
 LONGEST_ANSWER_S = 4.0
-"""How long an answer may go on arriving beyond the time-out of its call, in seconds.
+"""Maximum duration of a response beyond the timeout of its call, in seconds.
 
-4 MB over 10 Mbit/s with a quarter left for requests: four times the most that one object of the
-store holds.
+Enough for 4 MB over 10 Mbit/s with a quarter left for requests: four times the maximum size of an
+object in the store.
 """
 
 
@@ -36,13 +36,13 @@
 
 
 class CallReader:
-    """Collects one answer; calls back exactly once, with None if there was none in time.
+    """Collects one response; calls back exactly once, with None if the call failed or timed out.
 
     Args:
-        timeout_s: how long nothing at all may come, in seconds.
-        on_heard: called whenever a part of a good answer has come: a refusal is none, however
-            quickly it arrives.
-        longest_s: by when the answer must be whole, in seconds.
+        timeout_s: how long to wait for the first part of the response, in seconds.
+        on_heard: called for each part of a successful response; refusals do not count, however
+            quickly they arrive.
+        longest_s: maximum time until the response is complete, in seconds.
     """
 
     def __init__(
@@ -68,25 +68,25 @@
         self._timer: Timer = loop.call_later(timeout_s, self._look)
 
     def on_sent(self) -> None:
-        """The request leaves."""
+        """Do nothing: the timeout counts from the start of the call."""
 
     def on_head(self, status: int, headers: Headers, length: int | None) -> None:
-        """The answer begins."""
+        """Record the status and headers."""
         self._status = status
         self._headers = headers
         self._hear()
 
     def on_body(self, data: bytes) -> None:
-        """A part of the body."""
+        """Append a part of the body."""
         self._body += data
         self._hear()
 
     def on_complete(self) -> None:
-        """The answer is whole."""
+        """Report the complete response."""
         self._finish(HttpAnswer(self._status, self._headers, bytes(self._body)))
 
     def on_broken(self, was_sent: bool) -> None:
-        """There will be no answer."""
+        """Report that the call failed."""
         self._finish(None)
 
     def _hear(self) -> None:
@@ -95,7 +95,7 @@
             self._on_heard()
 
     def _look(self) -> None:
-        """Give the call up unless its answer is arriving; then look again later."""
+        """Give up the call unless its response is arriving, in which case check again later."""
         now = self._loop.now()
         silent_at = now if self._heard_at is None else self._heard_at + SILENCE_S
         left_s = min(silent_at, self._ends_at) - now
@@ -116,7 +116,7 @@
 
 
 class HttpCaller:
-    """Makes calls to one address."""
+    """HTTP client for one address."""
 
     def __init__(self, loop: Loop, address: str) -> None:
         self._loop = loop
@@ -131,7 +131,7 @@
         on_heard: Callable[[], None] = _nothing,
         longest_s: float | None = None,
     ) -> None:
-        """Make a call; ``on_answer`` gets its answer, or None; see :class:`CallReader`."""
+        """Make a call; ``on_answer`` receives the response or None; see :class:`CallReader`."""
         reader = CallReader(self._loop, timeout_s, on_answer, on_heard, longest_s)
         headers = [(b"Host", self._address.encode()), *call.headers]
         try:
--- a/src/martenrun/router/store_watch.py
+++ b/src/martenrun/router/store_watch.py
@@ -1,4 +1,4 @@
-"""Following one dataset of the platform's store: a list, then watches, again after any loss."""
+"""Follows one dataset of the platform's store: a list, then watches; relists after a loss."""
 
 import random
 from collections.abc import Callable
@@ -14,32 +14,31 @@
 from martenrun.router.store_client import HttpCaller
 
 ANSWER_TIMEOUT_S = 0.9
-"""How long an answer may not even begin beyond the time that a watch asks for, in seconds."""
+"""Timeout for the start of a response beyond the requested wait of a watch, in seconds."""
 
 FIRST_PAUSE_S = 0.08
 LONGEST_PAUSE_S = 0.6
-"""Pauses between failed calls; they double, and each is drawn from half of it to all."""
+"""Pauses between failed calls, in seconds; they double, with a jitter of half to all of each."""
 
 OVERDUE_S = 0.3
-"""How much later than usual an answer may come before the store counts as lost, in seconds."""
+"""Delay beyond the usual one after which the store counts as lost, in seconds."""
 
 DELAY_WEIGHT = 0.3
-"""Weight of the newest delay in the mean delay of answers."""
+"""Weight of the latest delay in the moving average of response delays."""
 
 OUTAGE_MEMORY_S = 2.0
-"""How long after its return the store may miss objects that are not gone, in seconds."""
+"""How long after an outage the store may miss objects that were not deleted, in seconds."""
 
 HTTP_GONE = 410
 
 
 @attrs.frozen
 class FollowSettings:
-    """How one dataset is followed.
+    """Settings for following one dataset.
 
     Attributes:
         wait_s: how long one watch waits for changes.
-        rest_s: how long after changes the next watch is sent: what changes meanwhile comes in one
-            answer.
+        rest_s: how long the next watch is delayed after changes, to batch those that follow.
     """
 
     wait_s: float
@@ -47,10 +46,10 @@
 
 
 class StoreFollower:
-    """Keeps a copy of one dataset current from the store, while it is wanted.
+    """Keeps a replica of one dataset current from the store while running.
 
     Args:
-        on_taken: called after each answer that was taken in whole.
+        on_taken: called after each response that was applied completely.
     """
 
     def __init__(
@@ -81,17 +80,17 @@
 
     @property
     def is_failing(self) -> bool:
-        """Whether the last calls had no good answer."""
+        """Whether the latest calls failed."""
         return self.is_running and self._failures > 1
 
     def is_overdue(self, now: float) -> bool:
-        """Whether an answer is later than the usual delay of answers allows."""
+        """Return whether a response is later than the usual delay allows."""
         if not self.is_running or self._due_at is None:
             return False
         return now > self._due_at + OVERDUE_S + 2 * self._delay_s
 
     def start(self) -> None:
-        """Begin with a list, or with a watch where the copy has been kept by another way."""
+        """Start with a list, or with a watch if the replica already has state."""
         if self.is_running:
             return
         self.is_running = True
@@ -102,7 +101,7 @@
             self._list(None, self._loop.now())
 
     def stop(self) -> None:
-        """Stop; answers to calls under way are dropped."""
+        """Stop; responses to pending calls are ignored."""
         self.is_running = False
         self.is_current = False
         self._round += 1
@@ -111,10 +110,10 @@
     def _when_wanted(
         self, due_at: float, call: Callable[[HttpAnswer | None], None]
     ) -> tuple[Callable[[HttpAnswer | None], None], Callable[[], None]]:
-        """Return a call that is left out if the follower has been stopped in between.
+        """Return wrappers for a response and for its parts, inactive after the follower stopped.
 
-        Beside it what is to be called when a part of the answer comes: from then on the answer is
-        late only if its next part is.  ``due_at`` is when a store that answers at once would begin.
+        From the first part on, the response is overdue only if its next part is.  ``due_at`` is the
+        time at which a response without delay would start.
         """
         asked_in = self._round
         self._due_at = due_at
@@ -164,7 +163,7 @@
         self._note_left_out(page.unreadable)
         self._listed += page.objects
         if self._list_revision is None:
-            # Later pages may already hold what the watch will tell again; that does no harm.
+            # Later pages may include changes that the watch repeats, which is harmless.
             self._list_revision = page.revision
         if page.next_after is not None:
             self._list(page.next_after, began_at)
@@ -179,7 +178,7 @@
         if not self.is_running or self._copy.revision is None:
             return
         sent_at = self._loop.now()
-        # After a failure the store is asked for a quick answer, so that its return is seen at once.
+        # After a failure the store is asked to respond at once, to detect its return quickly.
         wait_s = 0.0 if self._failures or not self.is_current else self._cfg.wait_s
         call = self._dialect.watch_objects(self._copy.dataset, self._copy.revision, wait_s)
         on_changes, on_heard = self._when_wanted(
@@ -230,7 +229,7 @@
         self._again_in(pause_s, again)
 
     def _fail_unreadable(self, answer: HttpAnswer, exc: UnreadableError) -> None:
-        """Go on from a whole list: what the answer would have told is not known."""
+        """Restart from a complete list, since the changes in the response are unknown."""
         log_trouble("answer_unreadable", dataset=self._copy.dataset.value, fault=str(exc)[:100])
         self._fail(answer, lambda: self._list(None, self._loop.now()))
 
@@ -239,7 +238,7 @@
             log_trouble("objects_left_out", dataset=self._copy.dataset.value, count=count)
 
     def _again_in(self, pause_s: float, again: Callable[[], None]) -> None:
-        """Make the next call after a pause, unless the follower is stopped meanwhile."""
+        """Make the next call after a pause, unless the follower is stopped before."""
         asked_in = self._round
         self._loop.call_later(pause_s, lambda: again() if asked_in == self._round else None)
 
@@ -251,7 +250,7 @@
         self._pause_s = FIRST_PAUSE_S
 
     def _is_after_outage(self) -> bool:
-        """Whether the store has only just returned: objects may be missing for a moment."""
+        """Return whether the store has just returned, so that objects may be missing briefly."""
         if self._returned_at is None:
             return False
         return self._loop.now() - self._returned_at < OUTAGE_MEMORY_S
