--- a/scripts/soak.py
+++ b/scripts/soak.py
@@ -50,8 +50,8 @@
 from martenrun.proof.soak_schedule import Step, draw_schedule, from_text, to_text
 from martenrun.router.router_table import (
     DEAD_AFTER_S,
-    MOST_SLOWNESS_OF_DEATH,
-    longest_named_s,
+    MAX_DEAD_AFTER_SLOWDOWN,
+    max_detection_s,
 )
 
 CALLERS = 12
@@ -120,7 +120,7 @@
 
 def most_at_once(lives: Sequence[RouterLife]) -> int:
     """Return how many routers lived at a time, those included that others still counted."""
-    counted_s = DEAD_AFTER_S * MOST_SLOWNESS_OF_DEATH
+    counted_s = DEAD_AFTER_S * MAX_DEAD_AFTER_SLOWDOWN
     return max(
         len({one.router for one in lives if one.started_at <= at < one.ended_at + counted_s})
         for at in (life.started_at for life in lives)
@@ -135,7 +135,7 @@
         revoke_s=REVOKE_S,
         drain_s=DRAIN_S,
         quiet_s=QUIET_S,
-        named_s=longest_named_s(routers) + MARGIN_S,
+        named_s=max_detection_s(routers) + MARGIN_S,
         closed_s=CLOSED_S,
         contact_s=CONTACT_S + MARGIN_S,
         rates=(RateBound(GREEDY, PROMPT_UNITS, QUOTA_WINDOW_S, most_units),),
--- a/src/martenrun/router/attempt.py
+++ b/src/martenrun/router/attempt.py
@@ -229,7 +229,7 @@
             return
         model = self._admitted.call.model
         instance = self._world.dialect.answering_instance(self.headers)
-        wanted = None if model is None else self._world.weights.wanted.get(model)
+        wanted = None if model is None else self._world.weights.targets.get(model)
         if instance != self.state.runner.name or model is None or wanted is None:
             # Another runner has the address now.
             self.state.loading_until = now + LOADING_MEMORY_S
--- a/src/martenrun/router/blame_store.py
+++ b/src/martenrun/router/blame_store.py
@@ -8,11 +8,11 @@
 
 from martenrun.net.http import HttpAnswer
 from martenrun.net.loop import Loop
-from martenrun.router.dataset_copy import DatasetCopy
+from martenrun.router.dataset_replica import DatasetReplica
 from martenrun.router.dialect import Dialect
 from martenrun.router.log import log_trouble
 from martenrun.router.messages import Dataset, HttpCall, StoredObject
-from martenrun.router.store_client import HttpCaller
+from martenrun.router.store_client import HttpClient
 from martenrun.router.suspects import Suspects
 
 OBJECT_NAME = "main"
@@ -47,9 +47,9 @@
     def __init__(
         self,
         loop: Loop,
-        store: HttpCaller,
+        store: HttpClient,
         dialect: Dialect,
-        copy: DatasetCopy,
+        copy: DatasetReplica,
         suspects: Suspects,
         reads_store: Callable[[], bool],
     ) -> None:
--- a/src/martenrun/router/dataset_copy.py
+++ b/src/martenrun/router/dataset_replica.py
@@ -19,7 +19,7 @@
 
 NONE_MISSING: Mapping[str, float] = {}
 
-REMEMBERED_CHANGES = 512
+MAX_CHANGES = 512
 """Maximum number of changes kept for followers; requests for older ones get a snapshot."""
 
 
@@ -27,27 +27,27 @@
 class Change:
     """One change of a replica; ``stored`` is None if the object was deleted."""
 
-    number: int
+    sequence_number: int
     name: str
     stored: StoredObject | None
 
 
 @attrs.frozen
-class CopyListener:
+class ReplicaListener:
     """Callbacks for changes of a replica.
 
     Attributes:
         on_put: an object is new or has changed.
-        on_gone: an object was deleted.
-        on_settled: a complete response has been applied.
+        on_deleted: an object was deleted.
+        on_applied: a complete response has been applied.
     """
 
     on_put: Callable[[StoredObject], None]
-    on_gone: Callable[[str], None]
-    on_settled: Callable[[], None]
+    on_deleted: Callable[[str], None]
+    on_applied: Callable[[], None]
 
 
-class DatasetCopy:
+class DatasetReplica:
     """Objects of one dataset, the newest revision seen, and when it was last confirmed.
 
     Args:
@@ -55,18 +55,18 @@
         listener: receives the changes.
     """
 
-    def __init__(self, dataset: Dataset, listener: CopyListener) -> None:
+    def __init__(self, dataset: Dataset, listener: ReplicaListener) -> None:
         self.dataset = dataset
         self._listener = listener
         self._objects: dict[str, StoredObject] = {}
         self._missing_since: dict[str, float] = {}
-        self._changes: collections.deque[Change] = collections.deque(maxlen=REMEMBERED_CHANGES)
-        self.number = 0
+        self._changes: collections.deque[Change] = collections.deque(maxlen=MAX_CHANGES)
+        self.sequence_number = 0
         self.revision: int | None = None
         self.confirmed_at: float | None = None
 
     @property
-    def is_known(self) -> bool:
+    def is_loaded(self) -> bool:
         """Whether a complete list has been applied."""
         return self.revision is not None
 
@@ -105,12 +105,12 @@
         for name in [name for name in self._objects if name not in listed]:
             self._remove(name, is_after_outage, now)
         self.revision = revision
-        self._listener.on_settled()
+        self._listener.on_applied()
 
     def apply(
         self,
         changed: list[StoredObject],
-        gone: list[str],
+        deleted: list[str],
         revision: int,
         is_after_outage: bool,
         now: float,
@@ -123,15 +123,15 @@
         """
         for stored in changed:
             self._put(stored, missing.get(stored.name))
-        for name in gone:
+        for name in deleted:
             self._remove(name, is_after_outage, now)
         self.revision = max(revision, self.revision or 0)
-        self._listener.on_settled()
+        self._listener.on_applied()
 
-    def confirm(self, asked_at: float) -> None:
+    def confirm(self, sent_at: float) -> None:
         """Record that a read sent at ``asked_at`` was applied; the time only increases."""
-        if self.confirmed_at is None or asked_at > self.confirmed_at:
-            self.confirmed_at = asked_at
+        if self.confirmed_at is None or sent_at > self.confirmed_at:
+            self.confirmed_at = sent_at
 
     def drop_missing(self, now: float) -> None:
         """Drop objects that have been missing for the whole grace period."""
@@ -140,31 +140,35 @@
             log_trouble("object_lapsed", dataset=self.dataset.value, name=name)
             self._drop(name)
         if late:
-            self._listener.on_settled()
+            self._listener.on_applied()
 
     def changes_after(self, number: int) -> list[Change] | None:
         """Return the changes after a sequence number, or None if some are no longer kept."""
-        if number == self.number:
+        if number == self.sequence_number:
             return []
-        if number > self.number or not self._changes or self._changes[0].number > number + 1:
+        if (
+            number > self.sequence_number
+            or not self._changes
+            or self._changes[0].sequence_number > number + 1
+        ):
             return None
-        return [change for change in self._changes if change.number > number]
+        return [change for change in self._changes if change.sequence_number > number]
 
     def _put(self, stored: StoredObject, missing_since: float | None) -> None:
         """Store an object; one that is missing keeps the earliest such time."""
         known = self._objects.get(stored.name)
         if known is not None and known.revision > stored.revision:
             return
-        was_missing_since = self._missing_since.pop(stored.name, None)
+        previous_missing_since = self._missing_since.pop(stored.name, None)
         if missing_since is not None:
-            earliest = min(missing_since, was_missing_since or missing_since)
+            earliest = min(missing_since, previous_missing_since or missing_since)
             self._missing_since[stored.name] = earliest
         is_new = known is None or known.revision < stored.revision
         if is_new:
             self._objects[stored.name] = stored
             self._listener.on_put(stored)
-        if is_new or was_missing_since != self._missing_since.get(stored.name):
-            self._note(stored.name, stored)
+        if is_new or previous_missing_since != self._missing_since.get(stored.name):
+            self._append_change(stored.name, stored)
 
     def _remove(self, name: str, is_after_outage: bool, now: float) -> None:
         if name not in self._objects:
@@ -173,14 +177,14 @@
             self._drop(name)
         elif name not in self._missing_since:
             self._missing_since[name] = now
-            self._note(name, self._objects[name])
+            self._append_change(name, self._objects[name])
 
     def _drop(self, name: str) -> None:
         self._missing_since.pop(name, None)
         if self._objects.pop(name, None) is not None:
-            self._note(name, None)
-            self._listener.on_gone(name)
+            self._append_change(name, None)
+            self._listener.on_deleted(name)
 
-    def _note(self, name: str, stored: StoredObject | None) -> None:
-        self.number += 1
-        self._changes.append(Change(self.number, name, stored))
+    def _append_change(self, name: str, stored: StoredObject | None) -> None:
+        self.sequence_number += 1
+        self._changes.append(Change(self.sequence_number, name, stored))
--- a/src/martenrun/router/denials.py
+++ b/src/martenrun/router/denials.py
@@ -5,13 +5,13 @@
 from martenrun.net.http import HttpAnswer
 from martenrun.net.server import Exchange
 from martenrun.router.admission import Admission, Refusal, refuse
-from martenrun.router.knowledge import decoded
-from martenrun.router.knowledge_feed import KnowledgeFeed
 from martenrun.router.messages import Admitted, Call, Dataset
-from martenrun.router.store_client import HttpCaller
+from martenrun.router.store_client import HttpClient
+from martenrun.router.store_state import decode_or_log
+from martenrun.router.store_state_feed import StoreStateFeed
 from martenrun.router.world import World
 
-DENIAL_AGE_S = 2.6
+MAX_DENIAL_AGE_S = 2.6
 """Age above which the configuration must be reread before a request is denied, in seconds."""
 
 DENIAL_WAIT_S = 0.06
@@ -21,7 +21,7 @@
 """Timeout for the complete reread of the configuration, in seconds."""
 
 
-class Denials:
+class DenialRecheck:
     """Decides requests again that would be denied.
 
     Only requests that arrive before a read has failed wait for one.  While the store does not
@@ -35,8 +35,8 @@
         self,
         world: World,
         admission: Admission,
-        store: HttpCaller,
-        feed: KnowledgeFeed,
+        store: HttpClient,
+        feed: StoreStateFeed,
         forward: Callable[[Exchange, Admitted], None],
     ) -> None:
         self._world = world
@@ -48,14 +48,14 @@
         self._is_reading = False
         self._failed_at: float | None = None
 
-    def look_again(self, exchange: Exchange, call: Call) -> None:
+    def recheck(self, exchange: Exchange, call: Call) -> None:
         """Decide a request again shortly, after a new read if the configuration is old."""
         self._world.loop.call_later(DENIAL_WAIT_S, lambda: self._decide_or_read(exchange, call))
 
     def _decide_or_read(self, exchange: Exchange, call: Call) -> None:
         if exchange.is_over:
             return
-        if self._world.configuration.age_s(self._world.loop.now()) <= DENIAL_AGE_S:
+        if self._world.configuration.age_s(self._world.loop.now()) <= MAX_DENIAL_AGE_S:
             self._decide(exchange, call)
         elif self._has_failed_since_confirmed():
             refuse(exchange, Refusal(503, "not_confirmed"), call)
@@ -76,17 +76,17 @@
         if self._is_reading:
             return
         self._is_reading = True
-        asked_at = self._world.loop.now()
+        sent_at = self._world.loop.now()
         self._store.call(
             self._world.dialect.read_object(Dataset.CONFIGURATION, "main"),
             CONFIRM_TIMEOUT_S,
-            lambda answer: self._on_read(answer, asked_at),
-            longest_s=CONFIRM_TIMEOUT_S,
+            lambda response: self._on_read(response, sent_at),
+            max_response_s=CONFIRM_TIMEOUT_S,
         )
 
-    def _on_read(self, answer: HttpAnswer | None, asked_at: float) -> None:
+    def _on_read(self, response: HttpAnswer | None, sent_at: float) -> None:
         self._is_reading = False
-        is_confirmed = self._is_confirmed(answer, asked_at)
+        is_confirmed = self._is_confirmed(response, sent_at)
         self._failed_at = None if is_confirmed else self._world.loop.now()
         waiting, self._waiting = self._waiting, []
         for exchange, call in waiting:
@@ -97,15 +97,15 @@
             else:
                 refuse(exchange, Refusal(503, "not_confirmed"), call)
 
-    def _is_confirmed(self, answer: HttpAnswer | None, asked_at: float) -> bool:
+    def _is_confirmed(self, response: HttpAnswer | None, sent_at: float) -> bool:
         """Apply a read configuration; return whether it is the one in force on this router."""
-        if answer is None or answer.status != 200:
+        if response is None or response.status != 200:
             return False
-        stored = decoded(answer.body, self._world.dialect.read_stored)
+        stored = decode_or_log(response.body, self._world.dialect.read_stored)
         if stored is None:
             return False
         self._feed.put_configuration(stored)
-        return self._world.configuration.confirm(asked_at)
+        return self._world.configuration.confirm(sent_at)
 
     def _decide(self, exchange: Exchange, call: Call) -> None:
         decision = self._admission.decide(exchange, call)
--- a/src/martenrun/router/figures.py
+++ b/src/martenrun/router/figures.py
@@ -4,10 +4,10 @@
 
 import attrs
 
-from martenrun.router.keeper import Keeper
 from martenrun.router.lease import Lease
 from martenrun.router.metrics import Sample
 from martenrun.router.peers import Peers
+from martenrun.router.store_sync import StoreSync
 from martenrun.router.world import World
 
 
@@ -21,7 +21,7 @@
 
     world: World
     peers: Peers
-    keeper: Keeper
+    keeper: StoreSync
     lease: Lease
     requests: Callable[[], int]
     connections: Callable[[], int]
@@ -45,7 +45,7 @@
         Sample("configuration_version", world.configuration.version),
         Sample("configuration_behind_seconds", world.configuration.behind_s(now)),
         Sample("routers_alive", 1 + len(sources.peers.live())),
-        Sample("oldest_router_alive_seconds", sources.peers.table.oldest_alive_s(now)),
+        Sample("oldest_router_alive_seconds", sources.peers.table.max_live_silence_s(now)),
         Sample("store_lost", sources.keeper.has_lost_store),
         Sample("lease_held", sources.lease.is_held()),
         Sample("requests_blamed", len(blame)),
--- a/src/martenrun/router/forwarding.py
+++ b/src/martenrun/router/forwarding.py
@@ -353,7 +353,7 @@
     def leave_ended_runner(self) -> None:
         """Go on elsewhere if the runner has started anew: this run has ended, told or not."""
         attempt = self._attempt
-        if attempt is not None and self._world.runners.has_ended(attempt.state.runner):
+        if attempt is not None and self._world.runners.is_replaced(attempt.state.runner):
             attempt.cancel()
             request = self._exchange.request
             self._world.suspects.note_left(attempt.state, request, self._admitted)
--- a/src/martenrun/router/internal_interface.py
+++ b/src/martenrun/router/internal_interface.py
@@ -9,7 +9,7 @@
 from martenrun.router.metrics import Metrics
 from martenrun.router.quotas.gate import QuotaGate
 from martenrun.router.quotas.page import QUOTAS_PATH, serve_quotas
-from martenrun.router.relay import RelaySource
+from martenrun.router.relay import RelayServer
 from martenrun.router.suspects import Suspects
 
 METRICS_PATH = b"/metrics"
@@ -20,7 +20,7 @@
     """Serves figures, requests held back, tenants' accounts, and the knowledge of the store."""
 
     def __init__(
-        self, metrics: Metrics, suspects: Suspects, quotas: QuotaGate, relay: RelaySource
+        self, metrics: Metrics, suspects: Suspects, quotas: QuotaGate, relay: RelayServer
     ) -> None:
         self._metrics = metrics
         self._suspects = suspects
--- a/src/martenrun/router/lease.py
+++ b/src/martenrun/router/lease.py
@@ -13,7 +13,6 @@
 from martenrun.net.http import HttpAnswer
 from martenrun.net.loop import Loop
 from martenrun.router.dialect import Dialect
-from martenrun.router.knowledge import decoded
 from martenrun.router.log import log_event, log_trouble
 from martenrun.router.messages import (
     Dataset,
@@ -23,7 +22,8 @@
     VersionAges,
 )
 from martenrun.router.order_turns import OrderTurns
-from martenrun.router.store_client import HttpCaller
+from martenrun.router.store_client import HttpClient
+from martenrun.router.store_state import decode_or_log
 
 CALL_TIMEOUT_S = 0.7
 """How long a call about the lease waits for its answer, in seconds."""
@@ -107,7 +107,7 @@
     def __init__(
         self,
         loop: Loop,
-        store: HttpCaller,
+        store: HttpClient,
         dialect: Dialect,
         name: str,
         holder: str,
@@ -222,7 +222,7 @@
         def answered(answer: HttpAnswer | None) -> None:
             if answer is not None and answer.status == 200:
                 log_event("lease_released", token=record.fencing_token)
-                stored = decoded(answer.body, self._dialect.read_stored)
+                stored = decode_or_log(answer.body, self._dialect.read_stored)
                 if stored is not None:
                     on_released(record, stored.revision)
 
@@ -307,13 +307,15 @@
                 on_done(is_stored)
 
     def _see(self, answer: HttpAnswer) -> None:
-        stored = decoded(answer.body, self._dialect.read_stored)
+        stored = decode_or_log(answer.body, self._dialect.read_stored)
         if stored is None:
             self._not_before = self._loop.now() + PAUSE_S
             return
         seen_at = self._loop.now()
         if self._seen is not None and stored.revision == self._seen.stored.revision:
             seen_at = self._seen.seen_at
-        record = decoded(stored, self._dialect.read_lease) or LeaseRecord("", self.fencing_token)
+        record = decode_or_log(stored, self._dialect.read_lease) or LeaseRecord(
+            "", self.fencing_token
+        )
         self._seen = SeenLease(stored, record, seen_at)
         self._on_ages(record.ages_ms)
--- a/src/martenrun/router/loads.py
+++ b/src/martenrun/router/loads.py
@@ -67,7 +67,7 @@
     def _tell_reading(self, state: RunnerState) -> None:
         state.reading_told = state.reading
         state.reading_told_at = self._peers.now()
-        self._peers.tell_reading(state.runner.instance, _own_load(state))
+        self._peers.broadcast_load(state.runner.instance, _own_load(state))
 
     def take_records(self) -> None:
         """Take in the loads of all live routers."""
@@ -92,7 +92,7 @@
                 continue
             self._heard.take(zone, sums, self._peers.now())
             self._outdated.update(sums)
-            if not news.is_passed_on:
+            if not news.is_forwarded:
                 self._to_pass_on.setdefault(zone, {}).update(sums)
 
     def refresh(self) -> None:
@@ -110,20 +110,20 @@
         """Tell what is due between zones; return after how many seconds to do so again."""
         own = self._peers.own
         if self._to_pass_on:
-            passed_on = ZoneLoads(self._to_pass_on, is_passed_on=True)
-            self._peers.tell_sums(self._near_addresses(), passed_on)
+            passed_on = ZoneLoads(self._to_pass_on, is_forwarded=True)
+            self._peers.send_zone_loads(self._near_addresses(), passed_on)
             self._to_pass_on = {}
         if self._tellers.get(own.zone) == own.address:
             near = [record.loads for record in self._peers.live() if record.zone == own.zone]
             news = self._told.due(added_up([self.own_loads(), *near]), self._peers.now())
             others = [address for zone, address in self._tellers.items() if zone != own.zone]
             if news:
-                self._peers.tell_sums(others, ZoneLoads({own.zone: news}))
+                self._peers.send_zone_loads(others, ZoneLoads({own.zone: news}))
         return TELL_S
 
     @property
     def _uses_sums(self) -> bool:
-        return self._peers.tells_own_zone_only()
+        return self._peers.sends_loads_to_own_zone_only()
 
     def _near_addresses(self) -> list[str]:
         own = self._peers.own
@@ -139,13 +139,13 @@
             load = record.loads.get(instance)
             if load is not None:
                 requests += load.requests
-                reading += load.tokens_to_read
-                held += load.tokens_held
+                reading += load.prefill_tokens
+                held += load.kv_cache_tokens
         if self._tellers:
             elsewhere = self._heard.at(instance, self._peers.now())
             requests += elsewhere.requests
-            reading += elsewhere.tokens_to_read
-            held += elsewhere.tokens_held
+            reading += elsewhere.prefill_tokens
+            held += elsewhere.kv_cache_tokens
         state.elsewhere = requests
         state.reading_elsewhere = reading
         state.held_elsewhere = held
--- a/src/martenrun/router/contacts.py
+++ b/src/martenrun/router/peer_addresses.py
@@ -14,15 +14,15 @@
 from martenrun.net.http import STATUS_OK, HttpAnswer
 from martenrun.net.loop import Loop
 from martenrun.router.dialect import Dialect
-from martenrun.router.knowledge import decoded
 from martenrun.router.log import log_event, log_trouble
 from martenrun.router.messages import Dataset, HttpCall, StoredObject
 from martenrun.router.peers import Peers
-from martenrun.router.store_client import HttpCaller
+from martenrun.router.store_client import HttpClient
+from martenrun.router.store_state import decode_or_log
 
 OBJECT_NAME = "main"
 
-STORED_CONTACTS = 8
+MAX_STORED_ADDRESSES = 8
 """Maximum number of addresses in the store."""
 
 CHECK_S = 0.5
@@ -37,7 +37,7 @@
 REREAD_S = 5.0
 """How often the writer rereads the object, in seconds: routers unknown to it may write as well."""
 
-ANSWER_GRACE_S = 2.0
+RESPONSE_GRACE_S = 2.0
 """How long a stored address may stay unresponsive before it is replaced, in seconds."""
 
 STATUS_CREATED = 201
@@ -46,7 +46,7 @@
 
 
 @attrs.frozen
-class StoredContacts:
+class StoredAddresses:
     """The object as last read or written; ``read_at`` is monotonic time, in seconds."""
 
     stored: StoredObject | None
@@ -54,7 +54,7 @@
     read_at: float
 
 
-def choose_contacts(
+def choose_addresses(
     stored: Sequence[str], alive: Sequence[str], unverified: Sequence[str]
 ) -> tuple[str, ...]:
     """Return the addresses to store.
@@ -69,10 +69,10 @@
     living = set(alive)
     kept = [address for address in stored if address in living or address in unverified]
     added = [address for address in alive if address not in kept]
-    return tuple((kept + added)[:STORED_CONTACTS])
+    return tuple((kept + added)[:MAX_STORED_ADDRESSES])
 
 
-class ContactDirectory:
+class PeerAddressDirectory:
     """Reads the stored addresses while this router is isolated, otherwise keeps them current.
 
     Args:
@@ -82,21 +82,21 @@
     def __init__(
         self,
         loop: Loop,
-        store: HttpCaller,
-        dialect: Dialect,
+        store: HttpClient,
+        adapter: Dialect,
         peers: Peers,
         reads_store: Callable[[], bool],
         rng: random.Random | None = None,
     ) -> None:
         self._loop = loop
         self._store = store
-        self._dialect = dialect
+        self._adapter = adapter
         self._peers = peers
         self._reads_store = reads_store
         self._rng = rng or random.Random()
-        self._known: StoredContacts | None = None
+        self._known: StoredAddresses | None = None
         self._is_calling = False
-        self._not_before = 0.0
+        self._next_call_at = 0.0
         self._is_resolved = False
 
     @property
@@ -110,7 +110,7 @@
             known = self._known
             waited_s = 0.0 if known is None else self._loop.now() - known.read_at
             is_alone = known is not None and (
-                not self._others(known.addresses) or waited_s >= ANSWER_GRACE_S
+                not self._other_addresses(known.addresses) or waited_s >= RESPONSE_GRACE_S
             )
             self._is_resolved = is_alone or bool(self._peers.live())
         return self._is_resolved
@@ -121,11 +121,11 @@
 
     def _check(self) -> None:
         now = self._loop.now()
-        if not self._is_calling and now >= self._not_before:
-            self._act(now)
+        if not self._is_calling and now >= self._next_call_at:
+            self._read_or_write(now)
         self._loop.call_later(CHECK_S * self._rng.uniform(0.8, 1.2), self._check)
 
-    def _act(self, now: float) -> None:
+    def _read_or_write(self, now: float) -> None:
         known = self._known
         is_writer = self._is_writer()
         is_isolated = not self._peers.live()
@@ -134,9 +134,9 @@
             return
         if known is None or not is_writer or self._peers.own.is_leaving:
             return
-        wanted = self._wanted(known, now)
-        if set(wanted) != set(known.addresses):
-            self._write(known, wanted)
+        target = self._target_addresses(known, now)
+        if set(target) != set(known.addresses):
+            self._write(known, target)
 
     def _is_writer(self) -> bool:
         """Return whether this router is the one that writes, as far as it knows."""
@@ -145,63 +145,63 @@
         readers = [item.address for item in self._peers.live() if item.reads_store]
         return self._peers.own.address <= min(readers, default=self._peers.own.address)
 
-    def _wanted(self, known: StoredContacts, now: float) -> tuple[str, ...]:
+    def _target_addresses(self, known: StoredAddresses, now: float) -> tuple[str, ...]:
         records = [item for item in self._peers.live() if not item.is_leaving]
         alive = [self._peers.own.address, *sorted(item.address for item in records)]
-        has_time = now - known.read_at < ANSWER_GRACE_S
-        return choose_contacts(known.addresses, alive, known.addresses if has_time else ())
+        has_time = now - known.read_at < RESPONSE_GRACE_S
+        return choose_addresses(known.addresses, alive, known.addresses if has_time else ())
 
-    def _others(self, addresses: Sequence[str]) -> list[str]:
+    def _other_addresses(self, addresses: Sequence[str]) -> list[str]:
         return [address for address in addresses if address != self._peers.own.address]
 
     def _read(self) -> None:
-        self._call(self._dialect.read_object(Dataset.CONTACTS, OBJECT_NAME), self._on_read)
+        self._call(self._adapter.read_object(Dataset.CONTACTS, OBJECT_NAME), self._on_read)
 
-    def _on_read(self, answer: HttpAnswer | None) -> None:
-        if answer is not None and answer.status == STATUS_NOT_FOUND:
-            self._known = StoredContacts(None, (), self._loop.now())
-        elif answer is not None and answer.status == STATUS_OK:
-            self._take_stored(answer)
+    def _on_read(self, response: HttpAnswer | None) -> None:
+        if response is not None and response.status == STATUS_NOT_FOUND:
+            self._known = StoredAddresses(None, (), self._loop.now())
+        elif response is not None and response.status == STATUS_OK:
+            self._apply_stored(response)
         else:
-            log_trouble("contacts_not_read", status=None if answer is None else answer.status)
+            log_trouble("contacts_not_read", status=None if response is None else response.status)
 
-    def _take_stored(self, answer: HttpAnswer) -> None:
+    def _apply_stored(self, response: HttpAnswer) -> None:
         """Merge the stored object and send the own record to the unknown routers it lists."""
         now = self._loop.now()
-        stored = decoded(answer.body, self._dialect.read_stored)
+        stored = decode_or_log(response.body, self._adapter.read_stored)
         if stored is None:
             return
-        addresses = tuple(decoded(stored, self._dialect.read_contacts) or ())
-        self._known = StoredContacts(stored, addresses, now)
+        addresses = tuple(decode_or_log(stored, self._adapter.read_contacts) or ())
+        self._known = StoredAddresses(stored, addresses, now)
         known = self._peers.table.addresses()
-        strangers = [address for address in self._others(addresses) if address not in known]
-        if strangers:
-            log_event("contacts_tried", addresses=",".join(strangers))
-            self._peers.introduce(strangers)
+        unknown = [address for address in self._other_addresses(addresses) if address not in known]
+        if unknown:
+            log_event("contacts_tried", addresses=",".join(unknown))
+            self._peers.send_record(unknown)
 
-    def _write(self, known: StoredContacts, wanted: tuple[str, ...]) -> None:
-        spec = self._dialect.contacts_spec(wanted)
+    def _write(self, known: StoredAddresses, target: tuple[str, ...]) -> None:
+        spec = self._adapter.contacts_spec(target)
         if known.stored is None:
-            call = self._dialect.create_object(Dataset.CONTACTS, OBJECT_NAME, spec)
+            call = self._adapter.create_object(Dataset.CONTACTS, OBJECT_NAME, spec)
         else:
-            call = self._dialect.replace_object(Dataset.CONTACTS, known.stored, spec)
+            call = self._adapter.replace_object(Dataset.CONTACTS, known.stored, spec)
         self._call(call, self._on_written)
 
-    def _on_written(self, answer: HttpAnswer | None) -> None:
-        status = None if answer is None else answer.status
-        if answer is not None and status in (STATUS_OK, STATUS_CREATED, STATUS_CONFLICT):
-            self._take_stored(answer)
+    def _on_written(self, response: HttpAnswer | None) -> None:
+        status = None if response is None else response.status
+        if response is not None and status in (STATUS_OK, STATUS_CREATED, STATUS_CONFLICT):
+            self._apply_stored(response)
             return
         # The write may have succeeded or the object may be deleted: read it before the next write.
         self._known = None
         log_trouble("contacts_not_written", status=status)
 
-    def _call(self, call: HttpCall, on_answer: Callable[[HttpAnswer | None], None]) -> None:
+    def _call(self, call: HttpCall, on_response: Callable[[HttpAnswer | None], None]) -> None:
         self._is_calling = True
 
-        def answered(answer: HttpAnswer | None) -> None:
+        def handle_response(response: HttpAnswer | None) -> None:
             self._is_calling = False
-            self._not_before = self._loop.now() + RETRY_PAUSE_S
-            on_answer(answer)
+            self._next_call_at = self._loop.now() + RETRY_PAUSE_S
+            on_response(response)
 
-        self._store.call(call, CALL_TIMEOUT_S, answered)
+        self._store.call(call, CALL_TIMEOUT_S, handle_response)
--- a/src/martenrun/router/peer_messages.py
+++ b/src/martenrun/router/peer_messages.py
@@ -23,13 +23,13 @@
 
     Attributes:
         requests: requests in flight.
-        tokens_to_read: prompt tokens still pending prefill.
-        tokens_held: KV cache tokens used by these requests.
+        prefill_tokens: prompt tokens still pending prefill.
+        kv_cache_tokens: KV cache tokens used by these requests.
     """
 
     requests: int
-    tokens_to_read: int
-    tokens_held: int
+    prefill_tokens: int
+    kv_cache_tokens: int
 
 
 class RouterRecord(msgspec.Struct, array_like=True):
@@ -50,7 +50,7 @@
 
     address: str
     incarnation: int
-    beat: int
+    heartbeat: int
     front: str
     zone: str
     is_leaving: bool
@@ -67,21 +67,21 @@
     quota_stage: int = QuotaStage.NONE.value
 
 
-class RouterBeat(msgspec.Struct, array_like=True, frozen=True):
+class RouterHeartbeat(msgspec.Struct, array_like=True, frozen=True):
     """The latest heartbeat of a router and its age, without the record.
 
     Attributes:
-        life: incarnation ID, see :func:`life_number`; a heartbeat takes 16 bytes with it instead
-            of 33 with address and incarnation.
+        incarnation_id: see :func:`incarnation_id`; a heartbeat takes 16 bytes with it instead of
+            33 with address and incarnation.
         age_ms: as in the record, in milliseconds.
     """
 
-    life: int
-    beat: int
+    incarnation_id: int
+    heartbeat: int
     age_ms: int
 
 
-def life_number(address: str, incarnation: int) -> int:
+def incarnation_id(address: str, incarnation: int) -> int:
     """Return a 64-bit ID of one incarnation of a router, identical on all routers."""
     return weight(b"%d" % incarnation, address)
 
@@ -90,17 +90,17 @@
     """Records, the sender's first, and heartbeats of routers whose records do not fit."""
 
     records: list[RouterRecord]
-    beats: list[RouterBeat] = []
+    heartbeats: list[RouterHeartbeat] = []
 
 
-class RecordsWanted(msgspec.Struct, array_like=True, tag="wanted"):
-    """Request for records that ``asker`` is missing, of incarnations known by heartbeat only."""
+class RecordsRequest(msgspec.Struct, array_like=True, tag="wanted"):
+    """Request for records that ``requester`` is missing, of incarnations known by heartbeat."""
 
-    asker: str
-    lives: list[int]
+    requester: str
+    incarnation_ids: list[int]
 
 
-class WeightsNews(msgspec.Struct, array_like=True, tag="load"):
+class WeightsUpdate(msgspec.Struct, array_like=True, tag="load"):
     """Runners start to load a version of a model's weights, or have loaded it."""
 
     instances: list[str]
@@ -109,7 +109,7 @@
     is_loaded: bool
 
 
-class LeaseNews(msgspec.Struct, array_like=True, tag="lease"):
+class LeaseUpdate(msgspec.Struct, array_like=True, tag="lease"):
     """A router released the order lease, ``idle_ms`` after its last order."""
 
     holder: str
@@ -118,17 +118,17 @@
     idle_ms: int
 
 
-class ReadingNews(msgspec.Struct, array_like=True, tag="reading"):
+class LoadUpdate(msgspec.Struct, array_like=True, tag="reading"):
     """Load on one runner, sent ahead of the router's next record."""
 
     address: str
     incarnation: int
-    beat: int
+    heartbeat: int
     instance: str
     load: RunnerLoad
 
 
-class SilenceNews(msgspec.Struct, array_like=True, tag="silence"):
+class UnresponsiveRunnerUpdate(msgspec.Struct, array_like=True, tag="silence"):
     """A runner is unresponsive to a router that still receives data from other runners."""
 
     address: str
@@ -139,20 +139,20 @@
     """Total load that all routers of a zone have placed on runners, by zone and instance.
 
     Attributes:
-        is_passed_on: whether a router of the receiver's own zone forwards another zone's message.
+        is_forwarded: whether a router of the receiver's own zone forwards another zone's message.
     """
 
     zones: dict[str, dict[str, RunnerLoad]]
-    is_passed_on: bool = False
+    is_forwarded: bool = False
 
 
 Message = (
     Gossip
-    | RecordsWanted
-    | WeightsNews
-    | LeaseNews
-    | SilenceNews
-    | ReadingNews
+    | RecordsRequest
+    | WeightsUpdate
+    | LeaseUpdate
+    | UnresponsiveRunnerUpdate
+    | LoadUpdate
     | ZoneLoads
     | BlameNews
     | LimitNews
--- a/src/martenrun/router/news.py
+++ b/src/martenrun/router/peer_updates.py
@@ -4,30 +4,30 @@
 
 from martenrun.router.blame_messages import BlameNews
 from martenrun.router.limit_messages import LimitNews
-from martenrun.router.peer_messages import LeaseNews, SilenceNews
-from martenrun.router.peers import News
+from martenrun.router.peer_messages import LeaseUpdate, UnresponsiveRunnerUpdate
+from martenrun.router.peers import Update
 from martenrun.router.silence import take_silence
 from martenrun.router.weights_news import take_weights_news
 from martenrun.router.weights_roll import WeightsRoller
 from martenrun.router.world import World
 
 
-def take_news(world: World, roller: WeightsRoller, news: News) -> None:
+def dispatch_update(world: World, roller: WeightsRoller, update: Update) -> None:
     """Pass an update from another router to the component that handles it."""
     now = world.loop.now()
-    if isinstance(news, LeaseNews):
-        roller.take_release(news)
-    elif isinstance(news, SilenceNews):
-        take_silence(world, news, now)
-    elif isinstance(news, BlameNews):
-        world.suspects.take(news)
-    elif isinstance(news, LimitNews):
-        world.runner_limits.take(news, now)
+    if isinstance(update, LeaseUpdate):
+        roller.take_release(update)
+    elif isinstance(update, UnresponsiveRunnerUpdate):
+        take_silence(world, update, now)
+    elif isinstance(update, BlameNews):
+        world.suspects.take(update)
+    elif isinstance(update, LimitNews):
+        world.runner_limits.take(update, now)
     else:
-        take_weights_news(world, news)
+        take_weights_news(world, update)
 
 
-def newcomer_news(world: World, routers: int) -> Sequence[News]:
+def updates_for_new_router(world: World, routers: int) -> Sequence[Update]:
     """Return the updates for a newly discovered router.
 
     Args:
@@ -35,4 +35,4 @@
     """
     blame = world.suspects.newcomer_news(routers)
     limits = world.runner_limits.newcomer_news(world.loop.now())
-    return [news for news in (blame, limits) if news is not None]
+    return [update for update in (blame, limits) if update is not None]
--- a/src/martenrun/router/peers.py
+++ b/src/martenrun/router/peers.py
@@ -19,15 +19,15 @@
 from martenrun.router.log import log_trouble
 from martenrun.router.peer_messages import (
     Gossip,
-    LeaseNews,
+    LeaseUpdate,
+    LoadUpdate,
     Message,
-    ReadingNews,
-    RecordsWanted,
-    RouterBeat,
+    RecordsRequest,
+    RouterHeartbeat,
     RouterRecord,
     RunnerLoad,
-    SilenceNews,
-    WeightsNews,
+    UnresponsiveRunnerUpdate,
+    WeightsUpdate,
     ZoneLoads,
     decode,
     encode,
@@ -41,14 +41,14 @@
 RECORDS_PER_DATAGRAM = 16
 """Maximum number of records in one datagram; the newest are sent first."""
 
-RECORDS_AMONG_MANY = 8
+RECORDS_WITH_HEARTBEATS = 8
 """Maximum number of records in one datagram that also carries heartbeats."""
 
-BEATS_PER_DATAGRAM = 256
+HEARTBEATS_PER_DATAGRAM = 256
 """Maximum number of heartbeats in one datagram, about 16 bytes each; the most recent go first."""
 
-NEAR_TARGETS = 2
-FAR_SHARE = 0.5
+SAME_ZONE_TARGETS = 2
+OTHER_ZONE_PROBABILITY = 0.5
 """Gossip targets per round in a large deployment: routers of the own zone, and how often another.
 
 Traffic between zones is more expensive.  With 195 routers in five zones and no requests, no live
@@ -56,23 +56,23 @@
 10,000 were.
 """
 
-WANTED_AT_ONCE = 32
+MAX_REQUESTED_RECORDS = 32
 """Maximum number of records per request; the response takes two datagrams."""
 
-WANTED_AGAIN_S = 0.5
+REQUEST_RETRY_S = 0.5
 """Time after which a missing record is requested again, in seconds."""
 
-TOLD_AGAIN_S = 0.5
+MIN_BROADCAST_INTERVAL_S = 0.5
 """Minimum interval between broadcasts of the own record that may be delayed, in seconds."""
 
-UNKNOWN_COUNT = 16
+ASSUMED_ROUTERS = 16
 """Assumed number of routers until others have been heard from for SETTLING_S seconds."""
 
 SETTLING_S = 2.0
 
-LONGEST_DATAGRAM = 60_000
+MAX_DATAGRAM_BYTES = 60_000
 
-News = WeightsNews | LeaseNews | SilenceNews | BlameNews | LimitNews
+Update = WeightsUpdate | LeaseUpdate | UnresponsiveRunnerUpdate | BlameNews | LimitNews
 """Messages that are broadcast to all routers at once."""
 
 DATAGRAMS_PER_ROUND = 64
@@ -87,13 +87,13 @@
         own: this router's record, whose heartbeat is advanced here.
         seeds: addresses to send to while no other router is known.
         refresh: updates the own record before it is sent.
-        on_news: called with each update that another router broadcast.
+        on_update: called with each update that another router broadcast.
         on_records: called after records have been merged.
-        on_reading: called with a runner's instance after another router's load on it was merged.
-        on_sums: called with load totals of other zones.
-        newcomer_news: returns the updates for a newly discovered router, given the number of known
-            routers.
-        on_quota: called with messages about tenant rates.
+        on_load_update: called with a runner's instance after a load update for it was merged.
+        on_zone_loads: called with load totals of other zones.
+        updates_for_new_router: returns the updates for a newly discovered router, given the number
+            of known routers.
+        on_quota_message: called with messages about tenant rates.
     """
 
     def __init__(
@@ -102,28 +102,28 @@
         own: RouterRecord,
         seeds: tuple[str, ...],
         refresh: Callable[[RouterRecord], None],
-        on_news: Callable[[News], None],
+        on_update: Callable[[Update], None],
         on_records: Callable[[], None],
-        on_reading: Callable[[str], None],
-        on_sums: Callable[[ZoneLoads], None] = lambda _sums: None,
-        newcomer_news: Callable[[int], Sequence[News]] = lambda _routers: (),
-        on_quota: Callable[[QuotaMessage], None] = lambda _message: None,
+        on_load_update: Callable[[str], None],
+        on_zone_loads: Callable[[ZoneLoads], None] = lambda _sums: None,
+        updates_for_new_router: Callable[[int], Sequence[Update]] = lambda _routers: (),
+        on_quota_message: Callable[[QuotaMessage], None] = lambda _message: None,
     ) -> None:
         self._loop = loop
         self.table = RouterTable(own)
         self._seeds = [seed for seed in seeds if seed != own.address]
         self._refresh = refresh
-        self._on_news = on_news
+        self._on_update = on_update
         self._on_records = on_records
-        self._on_reading = on_reading
-        self._on_sums = on_sums
-        self._newcomer_news = newcomer_news
-        self._on_quota = on_quota
-        self._told_at = -math.inf
-        self._tells_later = False
-        self._heard_since: float | None = None
+        self._on_load_update = on_load_update
+        self._on_zone_loads = on_zone_loads
+        self._updates_for_new_router = updates_for_new_router
+        self._on_quota_message = on_quota_message
+        self._broadcast_at = -math.inf
+        self._is_broadcast_scheduled = False
+        self._first_gossip_at: float | None = None
         self._unread_late_s = 0.0
-        self._wanted_at: dict[int, float] = {}
+        self._requested_at: dict[int, float] = {}
         self._rng = random.Random()
         self._socket = self._open(own.address)
 
@@ -147,33 +147,33 @@
     def budget_count(self) -> int:
         """Return the number of routers that share a common budget."""
         known = self.table.count()
-        return known if self.is_settled() else max(UNKNOWN_COUNT, known)
+        return known if self.is_settled() else max(ASSUMED_ROUTERS, known)
 
     def is_settled(self) -> bool:
         """Return whether other routers have been heard from long enough to know most of them."""
-        since = self._heard_since
+        since = self._first_gossip_at
         return since is not None and self._loop.now() - since > SETTLING_S
 
-    def tell_all(self, news: News) -> None:
+    def broadcast(self, update: Update) -> None:
         """Broadcast an update to all known routers."""
-        self._send_to(self.table.addresses(), news)
+        self._send_to(self.table.addresses(), update)
 
-    def tell_reading(self, instance: str, load: RunnerLoad) -> None:
+    def broadcast_load(self, instance: str, load: RunnerLoad) -> None:
         """Send this router's load on one runner to the other routers at once."""
         own = self.own
-        own.beat += 1
-        news = ReadingNews(own.address, own.incarnation, own.beat, instance, load)
-        self._send_to(self.table.told_at_once(), news)
+        own.heartbeat += 1
+        update = LoadUpdate(own.address, own.incarnation, own.heartbeat, instance, load)
+        self._send_to(self.table.load_update_addresses(), update)
 
-    def tell_sums(self, addresses: list[str], sums: ZoneLoads) -> None:
+    def send_zone_loads(self, addresses: list[str], loads: ZoneLoads) -> None:
         """Send load totals to some routers."""
-        self._send_to(addresses, sums)
+        self._send_to(addresses, loads)
 
-    def tell(self, addresses: list[str], message: QuotaMessage) -> None:
+    def send(self, addresses: list[str], message: QuotaMessage) -> None:
         """Send a message about tenant rates to some routers."""
         self._send_to(addresses, message)
 
-    def tells_own_zone_only(self) -> bool:
+    def sends_loads_to_own_zone_only(self) -> bool:
         """Return whether load updates go only to the own zone because there are many routers."""
         return self.table.is_large()
 
@@ -181,31 +181,31 @@
         """Return the monotonic time in seconds."""
         return self._loop.now()
 
-    def introduce(self, addresses: list[str]) -> None:
+    def send_record(self, addresses: list[str]) -> None:
         """Send the own record to routers that may not know this one."""
-        self._raise_own()
+        self._advance_heartbeat()
         self._send_to(addresses, Gossip([self.own]))
 
-    def tell_now(self) -> None:
+    def broadcast_record(self) -> None:
         """Send the own record to all known routers at once."""
-        self._raise_own()
-        self._told_at = self._loop.now()
+        self._advance_heartbeat()
+        self._broadcast_at = self._loop.now()
         self._send_to(self.table.addresses(), Gossip([self.own]))
 
-    def tell_soon(self) -> None:
-        """Send the own record to all known routers, at most once per TOLD_AGAIN_S."""
-        left_s = self._told_at + TOLD_AGAIN_S - self._loop.now()
-        if self._tells_later:
+    def schedule_record_broadcast(self) -> None:
+        """Send the own record to all known routers, at most once per MIN_BROADCAST_INTERVAL_S."""
+        delay_s = self._broadcast_at + MIN_BROADCAST_INTERVAL_S - self._loop.now()
+        if self._is_broadcast_scheduled:
             return
-        if left_s <= 0:
-            self.tell_now()
+        if delay_s <= 0:
+            self.broadcast_record()
         else:
-            self._tells_later = True
-            self._loop.call_later(left_s, self._tell_later)
+            self._is_broadcast_scheduled = True
+            self._loop.call_later(delay_s, self._run_scheduled_broadcast)
 
-    def _tell_later(self) -> None:
-        self._tells_later = False
-        self.tell_now()
+    def _run_scheduled_broadcast(self) -> None:
+        self._is_broadcast_scheduled = False
+        self.broadcast_record()
 
     def _send_to(self, addresses: list[str], message: Message) -> None:
         data = encode(message)
@@ -214,32 +214,32 @@
 
     def _tick(self) -> None:
         now = self._loop.now()
-        self.table.note_changes(now)
+        self.table.update_liveness(now)
         self.table.forget_dead(now)
-        self._raise_own()
-        beats = self._beats(now)
-        data = encode(self._gossip(beats, now))
-        for address in self._targets(now):
+        self._advance_heartbeat()
+        heartbeats = self._select_heartbeats(now)
+        data = encode(self._build_gossip(heartbeats, now))
+        for address in self._choose_targets(now):
             self._send(address, data)
         self._on_records()
-        interval_s = GOSSIP_INTERVAL_S * self.table.slowness() * self._rng.uniform(0.8, 1.2)
+        interval_s = GOSSIP_INTERVAL_S * self.table.slowdown() * self._rng.uniform(0.8, 1.2)
         self._loop.call_later(interval_s, self._tick)
 
-    def _gossip(self, beats: list[RouterBeat], now: float) -> Gossip:
-        most = RECORDS_AMONG_MANY if beats else RECORDS_PER_DATAGRAM
-        return Gossip([self.own, *self.table.newest(most - 1, now)], beats)
+    def _build_gossip(self, heartbeats: list[RouterHeartbeat], now: float) -> Gossip:
+        limit = RECORDS_WITH_HEARTBEATS if heartbeats else RECORDS_PER_DATAGRAM
+        return Gossip([self.own, *self.table.select_records(limit - 1, now)], heartbeats)
 
-    def _beats(self, now: float) -> list[RouterBeat]:
+    def _select_heartbeats(self, now: float) -> list[RouterHeartbeat]:
         """Return the heartbeats to send next to the records; none if all records fit."""
         if self.table.count() <= RECORDS_PER_DATAGRAM:
             return []
-        return self.table.beats(BEATS_PER_DATAGRAM, now)
+        return self.table.live_heartbeats(HEARTBEATS_PER_DATAGRAM, now)
 
-    def _raise_own(self) -> None:
-        self.own.beat += 1
+    def _advance_heartbeat(self) -> None:
+        self.own.heartbeat += 1
         self._refresh(self.own)
 
-    def _targets(self, now: float) -> list[str]:
+    def _choose_targets(self, now: float) -> list[str]:
         records = self.table.live(now)
         live = [record.address for record in records]
         near = [record.address for record in records if record.zone == self.own.zone]
@@ -247,13 +247,13 @@
             groups = [near, live]
         else:
             far = [record.address for record in records if record.zone != self.own.zone]
-            is_far_turn = not near or self._rng.random() < FAR_SHARE
-            groups = [near] * NEAR_TARGETS + ([far] if is_far_turn else [])
+            is_far_turn = not near or self._rng.random() < OTHER_ZONE_PROBABILITY
+            groups = [near] * SAME_ZONE_TARGETS + ([far] if is_far_turn else [])
         targets = [self._rng.choice(group) for group in groups if group]
         others = sorted({*self._seeds, *self.table.addresses()})
-        silent = [address for address in others if address not in live]
-        if silent and (len(live) < 2 or self._rng.random() < 0.2):
-            targets.append(self._rng.choice(silent))
+        dead = [address for address in others if address not in live]
+        if dead and (len(live) < 2 or self._rng.random() < 0.2):
+            targets.append(self._rng.choice(dead))
         return targets
 
     def _open(self, address: str) -> socket.socket:
@@ -279,7 +279,7 @@
         arrived_at = self._loop.now() - late_s
         for _ in range(DATAGRAMS_PER_ROUND):
             try:
-                data, _sender = self._socket.recvfrom(LONGEST_DATAGRAM)
+                data, _sender = self._socket.recvfrom(MAX_DATAGRAM_BYTES)
             except OSError:
                 self._unread_late_s = 0.0
                 return
@@ -288,64 +288,72 @@
             except msgspec.MsgspecError:
                 log_trouble("datagram_unreadable", length=len(data))
                 continue
-            self._take(message, arrived_at)
+            self._handle_message(message, arrived_at)
         self._unread_late_s = late_s
 
-    def _take(self, message: Message, arrived_at: float) -> None:
-        if isinstance(message, News):
-            self._on_news(message)
+    def _handle_message(self, message: Message, arrived_at: float) -> None:
+        if isinstance(message, Update):
+            self._on_update(message)
             return
         if isinstance(message, QuotaMessage):
-            self._on_quota(message)
+            self._on_quota_message(message)
             return
         now = self._loop.now()
         late_s = now - arrived_at
         if isinstance(message, ZoneLoads):
-            self._on_sums(message)
+            self._on_zone_loads(message)
             return
-        if isinstance(message, RecordsWanted):
-            self._give(message, now)
+        if isinstance(message, RecordsRequest):
+            self._send_requested_records(message, now)
             return
-        if isinstance(message, ReadingNews):
-            if self.table.take_reading(message, now, late_s):
-                self._on_reading(message.instance)
+        if isinstance(message, LoadUpdate):
+            if self.table.merge_load(message, now, late_s):
+                self._on_load_update(message.instance)
             return
-        self._take_gossip(message, now, late_s)
-
-    def _take_gossip(self, message: Gossip, now: float, late_s: float) -> None:
-        if self._heard_since is None:
-            self._heard_since = now
-        is_stranger = bool(message.records) and not self.table.knows(message.records[0])
+        self._handle_gossip(message, now, late_s)
+
+    def _handle_gossip(self, message: Gossip, now: float, late_s: float) -> None:
+        if self._first_gossip_at is None:
+            self._first_gossip_at = now
+        is_new_sender = bool(message.records) and not self.table.knows_incarnation(
+            message.records[0]
+        )
         self.table.merge(message.records, now, late_s)
-        lacking = self.table.merge_beats(message.beats, now, late_s)
+        missing = self.table.merge_heartbeats(message.heartbeats, now, late_s)
         for sender in message.records[:1]:
-            later = self.table.later_life(sender)
+            later = self.table.later_incarnation(sender)
             if later is not None:
                 self._send(sender.address, encode(Gossip([later])))
-            elif is_stranger and self.table.knows(sender):
-                self._send(sender.address, encode(self._gossip(self._beats(now), now)))
-                for news in self._newcomer_news(self.table.count()):
-                    self._send(sender.address, encode(news))
-            self._ask_for(lacking, sender.address, now)
-
-    def _ask_for(self, lacking: list[int], teller: str, now: float) -> None:
+            elif is_new_sender and self.table.knows_incarnation(sender):
+                self._send(
+                    sender.address, encode(self._build_gossip(self._select_heartbeats(now), now))
+                )
+                for update in self._updates_for_new_router(self.table.count()):
+                    self._send(sender.address, encode(update))
+            self._request_records(missing, sender.address, now)
+
+    def _request_records(self, missing: list[int], sender: str, now: float) -> None:
         """Request missing records from the router that sent the heartbeats, some at a time."""
-        wanted = [
-            life for life in lacking if now - self._wanted_at.get(life, -math.inf) >= WANTED_AGAIN_S
-        ][:WANTED_AT_ONCE]
-        if wanted:
-            self._wanted_at = {
-                life: at for life, at in self._wanted_at.items() if now - at < WANTED_AGAIN_S
+        requested = [
+            item
+            for item in missing
+            if now - self._requested_at.get(item, -math.inf) >= REQUEST_RETRY_S
+        ][:MAX_REQUESTED_RECORDS]
+        if requested:
+            self._requested_at = {
+                item: at for item, at in self._requested_at.items() if now - at < REQUEST_RETRY_S
             }
-            self._wanted_at.update(dict.fromkeys(wanted, now))
-            self._send(teller, encode(RecordsWanted(self.own.address, wanted)))
+            self._requested_at.update(dict.fromkeys(requested, now))
+            self._send(sender, encode(RecordsRequest(self.own.address, requested)))
 
-    def _give(self, wanted: RecordsWanted, now: float) -> None:
+    def _send_requested_records(self, request: RecordsRequest, now: float) -> None:
         """Send records that another router requested."""
-        records = self.table.records_of(wanted.lives[:WANTED_AT_ONCE], now)
-        most = RECORDS_PER_DATAGRAM - 1
-        for first in range(0, len(records), most):
-            self._send(wanted.asker, encode(Gossip([self.own, *records[first : first + most]])))
+        records = self.table.records_of(request.incarnation_ids[:MAX_REQUESTED_RECORDS], now)
+        limit = RECORDS_PER_DATAGRAM - 1
+        for first in range(0, len(records), limit):
+            self._send(
+                request.requester, encode(Gossip([self.own, *records[first : first + limit]]))
+            )
 
 
 def first_incarnation() -> int:
--- a/src/martenrun/router/process.py
+++ b/src/martenrun/router/process.py
@@ -8,29 +8,22 @@
 from martenrun.net.server import Exchange, Server
 from martenrun.router.admission import Admission, Refusal, refuse
 from martenrun.router.blame_store import BlameStore
-from martenrun.router.contacts import ContactDirectory
 from martenrun.router.crash_watch import RunnerKnowledge
 from martenrun.router.decisions import DEFAULTS, Decisions, load_decisions
-from martenrun.router.denials import Denials
+from martenrun.router.denials import DenialRecheck
 from martenrun.router.dialect import Dialect, SettingsSource
 from martenrun.router.entry import Entry
 from martenrun.router.figures import FigureSources, read_samples
 from martenrun.router.forwarding import Forwarding
 from martenrun.router.internal_interface import InternalInterface
-from martenrun.router.keeper import Keeper, KeeperParts
-from martenrun.router.knowledge import (
-    ConfigurationKnowledge,
-    RunnerDirectory,
-    WeightsKnowledge,
-)
-from martenrun.router.knowledge_feed import KnowledgeFeed
 from martenrun.router.lease import Lease
 from martenrun.router.loads import LoadExchange
 from martenrun.router.log import EVENT_LOG, log_event, log_trouble
 from martenrun.router.messages import Admitted, Configuration, Dataset, LeaseRecord, Route
 from martenrun.router.metrics import Metrics
-from martenrun.router.news import newcomer_news, take_news
-from martenrun.router.peer_messages import RouterRecord, SilenceNews
+from martenrun.router.peer_addresses import PeerAddressDirectory
+from martenrun.router.peer_messages import RouterRecord, UnresponsiveRunnerUpdate
+from martenrun.router.peer_updates import dispatch_update, updates_for_new_router
 from martenrun.router.peers import Peers, first_incarnation
 from martenrun.router.placement import Placement
 from martenrun.router.planned_stop import PlannedStop
@@ -40,7 +33,14 @@
 from martenrun.router.runner_pool import RunnerPool
 from martenrun.router.settings import RouterSettings
 from martenrun.router.silence import newly_silent, take_silence
-from martenrun.router.store_client import HttpCaller
+from martenrun.router.store_client import HttpClient
+from martenrun.router.store_state import (
+    ConfigurationState,
+    RunnerDirectory,
+    WeightsState,
+)
+from martenrun.router.store_state_feed import StoreStateFeed
+from martenrun.router.store_sync import StoreSync, StoreSyncParts
 from martenrun.router.suspects import Suspects
 from martenrun.router.weights_roll import WeightsRoller
 from martenrun.router.world import World
@@ -67,7 +67,7 @@
         EVENT_LOG.open(settings.name)
         self._loop = Loop()
         self._loop.pacer.set_link(settings.link_bytes_per_s)
-        self._store = HttpCaller(self._loop, settings.store_address)
+        self._store = HttpClient(self._loop, settings.store_address)
         self._metrics = Metrics(lambda: read_samples(self._figures))
         self._forwardings: set[Forwarding] = set()
         self._stop: PlannedStop | None = None
@@ -75,13 +75,13 @@
             loop=self._loop,
             settings=settings,
             dialect=dialect,
-            configuration=ConfigurationKnowledge(),
+            configuration=ConfigurationState(),
             runners=RunnerDirectory(),
-            weights=WeightsKnowledge(),
+            weights=WeightsState(),
             pool=RunnerPool(self._loop),
             placement=Placement(decisions.placement),
             suspects=Suspects(
-                self._loop, self._runner_knowledge(), lambda news: self._peers.tell_all(news)
+                self._loop, self._runner_knowledge(), lambda news: self._peers.broadcast(news)
             ),
             decisions=decisions,
             spends_from=self._spends_from(settings),
@@ -91,7 +91,7 @@
             note_reading=lambda state: self._loads.note_reading(state),
             refresh_loads=lambda: self._loads.refresh(),
             runner_limits=RunnerLimits(
-                lambda news: self._peers.tell_all(news),
+                lambda news: self._peers.broadcast(news),
                 self._on_limit_changed,
                 lambda outcome: self._metrics.count("runner_limits", outcome=outcome),
             ),
@@ -100,7 +100,7 @@
         own = RouterRecord(
             address=settings.internal_address,
             incarnation=first_incarnation(),
-            beat=0,
+            heartbeat=0,
             front=settings.front_address,
             zone=settings.zone,
             is_leaving=False,
@@ -117,11 +117,11 @@
             own,
             settings.seeds,
             self._refresh,
-            lambda news: take_news(self._world, self._roller, news),
+            lambda news: dispatch_update(self._world, self._roller, news),
             self._on_records,
             lambda instance: self._loads.take_reading(instance),
             lambda sums: self._loads.take_sums(sums),
-            lambda routers: newcomer_news(self._world, routers),
+            lambda routers: updates_for_new_router(self._world, routers),
             lambda message: self._quotas.take(message),
         )
         self._quotas = self._world.quotas = self._quota_gate(settings)
@@ -135,13 +135,13 @@
             holder,
             settings.bounds.lease_s,
             lambda: self._world.weights.ages_ms(self._loop.now()),
-            lambda ages_ms: self._world.weights.learn_ages(ages_ms, self._loop.now()),
+            lambda ages_ms: self._world.weights.merge_ages(ages_ms, self._loop.now()),
         )
         self._roller = WeightsRoller(self._world, self._peers, self._lease)
-        self._feed = KnowledgeFeed(self._world, self._metrics, self._on_runners_settled)
-        self._keeper = Keeper(
-            KeeperParts(
-                self._loop, self._store, dialect, self._feed.copies, self._peers, settings.seeds
+        self._feed = StoreStateFeed(self._world, self._metrics, self._on_runners_settled)
+        self._keeper = StoreSync(
+            StoreSyncParts(
+                self._loop, self._store, dialect, self._feed.replicas, self._peers, settings.seeds
             ),
             self._feed.confirm,
         )
@@ -149,14 +149,14 @@
             self._loop,
             self._store,
             dialect,
-            self._feed.copies[Dataset.BLAME],
+            self._feed.replicas[Dataset.BLAME],
             self._world.suspects,
             lambda: self._keeper.reads_store,
         )
-        self._contacts = ContactDirectory(
+        self._contacts = PeerAddressDirectory(
             self._loop, self._store, dialect, self._peers, lambda: self._keeper.reads_store
         )
-        self._denials = Denials(
+        self._denials = DenialRecheck(
             self._world, self._admission, self._store, self._feed, self._forward
         )
         internal = InternalInterface(
@@ -214,8 +214,8 @@
         """Return what the watch for runners that end asks of the parts made after it."""
         return RunnerKnowledge(
             is_listed=lambda state: self._world.pool.state(state.runner.instance) is state,
-            has_ended=lambda runner: self._world.runners.has_ended(runner),
-            others_at=lambda address: self._world.runners.listed_at(address),
+            has_ended=lambda runner: self._world.runners.is_replaced(runner),
+            others_at=lambda address: self._world.runners.instances_at(address),
             has_connection=lambda instance: self._world.pool.has_kept(instance),
             count=lambda: len(self._world.runners.runners),
         )
@@ -239,10 +239,10 @@
 
     def _on_configuration(self, configuration: Configuration) -> None:
         self._front.limits = configuration.limits
-        self._world.configuration.hear([(configuration.version, 0)], self._loop.now())
+        self._world.configuration.merge_versions([(configuration.version, 0)], self._loop.now())
         if self._keeper.reads_store:
             # Who is behind must know it, also if it cannot get the configuration itself.
-            self._peers.tell_soon()
+            self._peers.schedule_record_broadcast()
 
     def _on_runners_settled(self) -> None:
         self._world.pool.update(self._world.runners.runners)
@@ -260,7 +260,7 @@
         own.lease_revision = self._lease.revision
         own.lease_token = self._lease.fencing_token if own.lease_revision else 0
         own.weights = self._world.weights.ages_ms(self._loop.now())
-        own.configurations = self._world.configuration.told(self._loop.now())
+        own.configurations = self._world.configuration.versions_in_force(self._loop.now())
         own.loads = self._loads.own_loads()
         own.quota_stage = self._quotas.stage().value
 
@@ -272,10 +272,10 @@
 
     def _on_records(self) -> None:
         self._loads.take_records()
-        for record, told_at in self._peers.table.told():
-            self._world.configuration.hear(record.configurations, told_at)
+        for record, told_at in self._peers.table.timed_records():
+            self._world.configuration.merge_versions(record.configurations, told_at)
         for record in self._peers.live():
-            self._world.weights.learn_ages(record.weights, self._loop.now())
+            self._world.weights.merge_ages(record.weights, self._loop.now())
             if record.lease_revision:
                 holder = f"{record.address}#{record.incarnation}"
                 self._lease.note_revision(
@@ -296,7 +296,7 @@
         if isinstance(decision, Admitted):
             self._forward(exchange, decision)
         elif decision.status in (401, 404):
-            self._denials.look_again(exchange, call)
+            self._denials.recheck(exchange, call)
         else:
             refuse(exchange, decision, call)
 
@@ -323,7 +323,7 @@
     def _is_ready(self) -> bool:
         if self._world.configuration.table is None or self._stop is not None:
             return False
-        return self._feed.copies[Dataset.RUNNERS].is_known
+        return self._feed.replicas[Dataset.RUNNERS].is_loaded
 
     # Ends
 
@@ -346,7 +346,7 @@
         log_event("stopping", requests=len(self._forwardings))
         self._front.is_draining = True
         self._roller.end_by(self._stop.lingers_until)
-        self._peers.tell_now()
+        self._peers.broadcast_record()
 
     def _keep_house(self) -> None:
         now = self._loop.now()
@@ -355,9 +355,9 @@
             forwarding.leave_ended_runner()
         self._loads.tell_again()
         for instance in newly_silent(self._world, now):
-            news = SilenceNews(self._peers.own.address, instance)
+            news = UnresponsiveRunnerUpdate(self._peers.own.address, instance)
             take_silence(self._world, news, now)
-            self._peers.tell_all(news)
+            self._peers.broadcast(news)
         self._world.suspects.keep_house()
         self._world.runner_limits.tell_again(now)
         self._blame_store.check()
--- a/src/martenrun/router/quotas/gate.py
+++ b/src/martenrun/router/quotas/gate.py
@@ -235,7 +235,7 @@
             self._service.decide(ask, lambda verdict: self._take_own_verdict(grant, verdict))
             return
         grant.timer = self._loop.call_later(ANSWER_TIMEOUT_S, lambda: self._on_silence(grant))
-        self._peers.tell([address], ask)
+        self._peers.send([address], ask)
 
     def _take_own_verdict(self, grant: Grant, verdict: Verdict) -> None:
         if not grant.is_decided:
@@ -297,7 +297,7 @@
             self._alone.note_use(use_now, self._loop.now())
         others = [address for address in grant.asked if address != self._own]
         if others:
-            self._peers.tell(others, use_now)
+            self._peers.send(others, use_now)
         if len(others) < len(grant.asked):
             self._service.note_use(use_now)
 
--- a/src/martenrun/router/quotas/service.py
+++ b/src/martenrun/router/quotas/service.py
@@ -54,7 +54,7 @@
 class QuotaPeers(Protocol):
     """What is needed of the other routers."""
 
-    def tell(self, addresses: list[str], message: QuotaMessage) -> None:
+    def send(self, addresses: list[str], message: QuotaMessage) -> None:
         """Send a message to some routers."""
 
     def budget_count(self) -> int:
@@ -124,14 +124,14 @@
         """Answer another router's question, or forward it to an owner."""
         owner = None if ask.is_final else self._owners.forwards_to(ask.tenant)
         if owner is not None:
-            self._peers.tell([owner], msgspec.structs.replace(ask, is_final=True))
+            self._peers.send([owner], msgspec.structs.replace(ask, is_final=True))
             return
 
         def respond(verdict: Verdict) -> None:
             wait_ms = round(verdict.wait_s * MS_PER_S)
             balance = round(verdict.balance)
             answer = QuotaAnswer(ask.number, verdict.is_granted, wait_ms, self._own, balance)
-            self._peers.tell([ask.asker], answer)
+            self._peers.send([ask.asker], answer)
 
         self.decide(ask, respond)
 
@@ -179,7 +179,7 @@
             return
         self._add_replica(use.tenant, use.forwarder, now)
         if self._monitor.may_acknowledge(use.forwarder, now):
-            self._peers.tell([use.forwarder], QuotaAck(self._own))
+            self._peers.send([use.forwarder], QuotaAck(self._own))
 
     def note_acknowledged(self, ack: QuotaAck) -> None:
         """Another owner has acknowledged uses."""
@@ -192,7 +192,7 @@
         replicas.discard(self._own)
         if replicas:
             forwarded = msgspec.structs.replace(use, forwarder=self._own)
-            self._peers.tell(sorted(replicas), forwarded)
+            self._peers.send(sorted(replicas), forwarded)
         for replica in replicas:
             self._monitor.note_replicated(replica, now)
 
@@ -216,7 +216,7 @@
         now = self._loop.now()
         if self._ledger.is_current(recall.tenant):
             self._add_replica(recall.tenant, recall.asker, now)
-        self._peers.tell([recall.asker], self._memory(recall.tenant, now))
+        self._peers.send([recall.asker], self._memory(recall.tenant, now))
 
     def take_memory(self, memory: QuotaMemory) -> None:
         """Take in an answer to a recall; one that comes late still counts."""
@@ -251,7 +251,7 @@
             recovery.add_use(use)
         pending = self._pending[tenant] = PendingRecovery(recovery)
         if others:
-            self._peers.tell(others, QuotaRecall(tenant, self._own))
+            self._peers.send(others, QuotaRecall(tenant, self._own))
             pending.timer = self._loop.call_later(RECALL_TIMEOUT_S, lambda: self._open(tenant))
         return pending
 
--- a/src/martenrun/router/relay.py
+++ b/src/martenrun/router/relay.py
@@ -11,40 +11,40 @@
 
 from martenrun.net.loop import Loop
 from martenrun.net.server import Exchange
-from martenrun.router.dataset_copy import Change, DatasetCopy
+from martenrun.router.dataset_replica import Change, DatasetReplica
 from martenrun.router.messages import Dataset, StoredObject
 from martenrun.router.relay_messages import (
     ENCODE,
     FOLLOW_PATH,
-    QUESTION,
-    FollowAnswer,
-    FollowQuestion,
+    QUERY_DECODER,
+    FollowQuery,
     FollowRefusal,
+    FollowResponse,
     RelayedDataset,
     RelayedObject,
-    packed,
+    encode_objects,
 )
 
-OLDEST_RELAYED_S = 3.0
+MAX_RELAYED_AGE_S = 3.0
 """Age from which state is no longer relayed, in seconds."""
 
-Copies = Mapping[Dataset, DatasetCopy]
+Replicas = Mapping[Dataset, DatasetReplica]
 
 
-class HeldQuestion:
+class PendingQuery:
     """A query whose response waits for a change."""
 
-    def __init__(self, exchange: Exchange, question: FollowQuestion, asked_at: float) -> None:
+    def __init__(self, exchange: Exchange, query: FollowQuery, received_at: float) -> None:
         self.exchange = exchange
-        self.question = question
-        self.asked_at = asked_at
+        self.query = query
+        self.received_at = received_at
 
 
-class RelaySource:
+class RelayServer:
     """Serves queries of other routers from this router's replicas.
 
     Args:
-        life: this router's incarnation; sequence numbers of other incarnations are not comparable.
+        incarnation: of this router; sequence numbers of other incarnations are not comparable.
         may_relay: whether this router is current, as a reader or by following one.
         has_lost_store: whether its requests to the store fail.
         reads_store: whether it reads the store itself.
@@ -53,131 +53,133 @@
     def __init__(
         self,
         loop: Loop,
-        copies: Copies,
-        life: int,
+        replicas: Replicas,
+        incarnation: int,
         may_relay: Callable[[], bool],
         has_lost_store: Callable[[], bool],
         reads_store: Callable[[], bool],
     ) -> None:
         self._loop = loop
-        self._copies = copies
-        self._life = life
+        self._replicas = replicas
+        self._incarnation = incarnation
         self._may_relay = may_relay
         self._has_lost_store = has_lost_store
         self._reads_store = reads_store
-        self._held: set[HeldQuestion] = set()
-        self._changes = {dataset: PackedChanges(copy) for dataset, copy in copies.items()}
+        self._pending: set[PendingQuery] = set()
+        self._changes = {dataset: EncodedChanges(replica) for dataset, replica in replicas.items()}
 
     def serve(self, exchange: Exchange) -> None:
         """Respond to a query, at once or after the next change."""
         try:
-            question = QUESTION.decode(exchange.request.body)
+            query = QUERY_DECODER.decode(exchange.request.body)
         except msgspec.MsgspecError:
             exchange.respond(400, [])
             return
-        if exchange.request.target != FOLLOW_PATH or not self._may_answer(question):
+        if exchange.request.target != FOLLOW_PATH or not self._may_respond(query):
             self._refuse(exchange)
             return
-        held = HeldQuestion(exchange, question, self._loop.now())
-        if question.life != self._life or self._has_changed(question):
-            self._answer(held)
+        pending = PendingQuery(exchange, query, self._loop.now())
+        if query.incarnation != self._incarnation or self._has_changed(query):
+            self._respond(pending)
             return
-        self._held.add(held)
-        exchange.on_gone = lambda: self._held.discard(held)
-        self._loop.call_later(question.hold_ms / 1000.0, lambda: self._answer(held))
+        self._pending.add(pending)
+        exchange.on_gone = lambda: self._pending.discard(pending)
+        self._loop.call_later(query.hold_ms / 1000.0, lambda: self._respond(pending))
 
-    def drop_held(self) -> None:
+    def refuse_pending(self) -> None:
         """Refuse all waiting queries, because this router has lost the store."""
-        for held in list(self._held):
-            self._answer(held)
+        for pending in list(self._pending):
+            self._respond(pending)
 
-    def copies_changed(self) -> None:
+    def respond_with_changes(self) -> None:
         """Respond to waiting queries for which there are changes."""
-        for held in [held for held in self._held if self._has_changed(held.question)]:
-            self._answer(held)
+        for pending in [pending for pending in self._pending if self._has_changed(pending.query)]:
+            self._respond(pending)
 
     def _refuse(self, exchange: Exchange) -> None:
         exchange.respond(503, [], ENCODE(FollowRefusal(self._has_lost_store())))
 
-    def _may_answer(self, question: FollowQuestion) -> bool:
+    def _may_respond(self, query: FollowQuery) -> bool:
         if self._may_relay():
             return True
-        return question.accepts_old and all(copy.is_known for copy in self._copies.values())
+        return query.accepts_stale and all(replica.is_loaded for replica in self._replicas.values())
 
-    def _has_changed(self, question: FollowQuestion) -> bool:
+    def _has_changed(self, query: FollowQuery) -> bool:
         return any(
-            question.numbers.get(dataset.value) != copy.number
-            for dataset, copy in self._copies.items()
+            query.sequence_numbers.get(dataset.value) != replica.sequence_number
+            for dataset, replica in self._replicas.items()
         )
 
-    def _answer(self, held: HeldQuestion) -> None:
-        self._held.discard(held)
-        if held.exchange.is_over:
+    def _respond(self, pending: PendingQuery) -> None:
+        self._pending.discard(pending)
+        if pending.exchange.is_over:
             return
-        if not self._may_answer(held.question):
-            self._refuse(held.exchange)
+        if not self._may_respond(pending.query):
+            self._refuse(pending.exchange)
             return
         now = self._loop.now()
-        question = held.question
-        numbers = question.numbers if question.life == self._life else {}
+        query = pending.query
+        sequence_numbers = query.sequence_numbers if query.incarnation == self._incarnation else {}
         datasets = {
-            dataset.value: self._relayed(dataset, numbers.get(dataset.value), now)
-            for dataset in self._copies
+            dataset.value: self._build_dataset(dataset, sequence_numbers.get(dataset.value), now)
+            for dataset in self._replicas
         }
-        held_ms = int((now - held.asked_at) * 1000)
-        answer = FollowAnswer(self._life, held_ms, datasets, self._reads_store())
-        held.exchange.respond(200, [], ENCODE(answer))
-
-    def _relayed(self, dataset: Dataset, number: int | None, now: float) -> RelayedDataset:
-        copy = self._copies[dataset]
-        objects, is_whole = self._changes[dataset].after(number, now)
-        confirmed_at = now if copy.confirmed_at is None else copy.confirmed_at
+        held_ms = int((now - pending.received_at) * 1000)
+        response = FollowResponse(self._incarnation, held_ms, datasets, self._reads_store())
+        pending.exchange.respond(200, [], ENCODE(response))
+
+    def _build_dataset(
+        self, dataset: Dataset, sequence_number: int | None, now: float
+    ) -> RelayedDataset:
+        replica = self._replicas[dataset]
+        objects, is_snapshot = self._changes[dataset].after(sequence_number, now)
+        confirmed_at = now if replica.confirmed_at is None else replica.confirmed_at
         return RelayedDataset(
-            number=copy.number,
-            revision=copy.revision or 0,
+            sequence_number=replica.sequence_number,
+            revision=replica.revision or 0,
             age_ms=int((now - confirmed_at) * 1000) + 1,
-            is_whole=is_whole,
+            is_snapshot=is_snapshot,
             objects=objects,
         )
 
 
-class PackedChanges:
+class EncodedChanges:
     """Encodes each range of changes of a replica once for all followers that request it."""
 
-    def __init__(self, copy: DatasetCopy) -> None:
-        self._copy = copy
-        self._number = -1
-        self._packed: dict[int | None, tuple[bytes, bool]] = {}
+    def __init__(self, replica: DatasetReplica) -> None:
+        self._replica = replica
+        self._sequence_number = -1
+        self._encoded: dict[int | None, tuple[bytes, bool]] = {}
 
-    def after(self, number: int | None, now: float) -> tuple[bytes, bool]:
+    def after(self, sequence_number: int | None, now: float) -> tuple[bytes, bool]:
         """Return the changes after a sequence number, and whether they are a snapshot."""
-        copy = self._copy
-        if self._number != copy.number:
-            self._number = copy.number
-            self._packed.clear()
-        found = self._packed.get(number)
+        replica = self._replica
+        if self._sequence_number != replica.sequence_number:
+            self._sequence_number = replica.sequence_number
+            self._encoded.clear()
+        found = self._encoded.get(sequence_number)
         if found is None:
-            changes = None if number is None else copy.changes_after(number)
-            found = packed(_relayed_objects(copy, changes, now)), changes is None
-            if not copy.has_missing:
+            changes = None if sequence_number is None else replica.changes_after(sequence_number)
+            found = encode_objects(_relayed_objects(replica, changes, now)), changes is None
+            if not replica.has_missing:
                 # The time for which an object has been missing differs in each response.
-                self._packed[number] = found
+                self._encoded[sequence_number] = found
         return found
 
 
 def _relayed_objects(
-    copy: DatasetCopy, changes: list[Change] | None, now: float
+    replica: DatasetReplica, changes: list[Change] | None, now: float
 ) -> list[RelayedObject]:
     if changes is None:
-        return [_relayed_object(copy, item, now) for item in copy.objects]
+        return [_relayed_object(replica, item, now) for item in replica.objects]
     newest = {change.name: change.stored for change in changes}
     return [
-        RelayedObject(name, 0, None) if stored is None else _relayed_object(copy, stored, now)
+        RelayedObject(name, 0, None) if stored is None else _relayed_object(replica, stored, now)
         for name, stored in newest.items()
     ]
 
 
-def _relayed_object(copy: DatasetCopy, stored: StoredObject, now: float) -> RelayedObject:
-    since = copy.missing_since(stored.name)
+def _relayed_object(replica: DatasetReplica, stored: StoredObject, now: float) -> RelayedObject:
+    since = replica.missing_since(stored.name)
     missing_ms = None if since is None else int((now - since) * 1000)
     return RelayedObject(stored.name, stored.revision, stored.spec, missing_ms)
--- a/src/martenrun/router/relay_follower.py
+++ b/src/martenrun/router/relay_follower.py
@@ -7,29 +7,29 @@
 
 from martenrun.net.http import HttpAnswer
 from martenrun.net.loop import Loop
-from martenrun.router.dataset_copy import DatasetCopy
+from martenrun.router.dataset_replica import DatasetReplica
 from martenrun.router.log import log_trouble
 from martenrun.router.messages import Dataset, HttpCall, StoredObject
-from martenrun.router.relay import Copies
+from martenrun.router.relay import Replicas
 from martenrun.router.relay_messages import (
-    ANSWER,
     ENCODE,
     FOLLOW_PATH,
-    REFUSAL,
-    FollowQuestion,
+    REFUSAL_DECODER,
+    RESPONSE_DECODER,
+    FollowQuery,
     RelayedDataset,
     RelayedObject,
-    unpacked,
+    decode_objects,
 )
-from martenrun.router.store_client import HttpCaller
+from martenrun.router.store_client import HttpClient
 
 HOLD_S = 0.8
 """How long the other router may delay a response while nothing has changed, in seconds."""
 
-ANSWER_TIMEOUT_S = 0.6
+RESPONSE_TIMEOUT_S = 0.6
 """Timeout for the start of a response beyond that, in seconds."""
 
-NEW_TIMEOUT_S = 0.4
+INITIAL_TIMEOUT_S = 0.4
 """Timeout for the start of a response to a router that has no state yet, in seconds."""
 
 
@@ -38,120 +38,122 @@
 
     Args:
         source: returns the address of the router to query now, or None.
-        on_taken: called after each response that was applied completely.
+        on_applied: called after each response that was applied completely.
         on_failed: called with the address of a router to which a query failed, and whether that
             router reported that it has lost the store.
-        on_heard: called whenever a part of a response arrives.
-        caller: creates the client for one address.
+        on_part: called whenever a part of a response arrives.
+        make_client: creates the client for one address.
     """
 
     def __init__(
         self,
         loop: Loop,
-        copies: Copies,
+        replicas: Replicas,
         source: Callable[[], str | None],
-        on_taken: Callable[[], None],
+        on_applied: Callable[[], None],
         on_failed: Callable[[str, bool], None],
-        on_heard: Callable[[], None] = lambda: None,
-        caller: Callable[[Loop, str], HttpCaller] = HttpCaller,
+        on_part: Callable[[], None] = lambda: None,
+        make_client: Callable[[Loop, str], HttpClient] = HttpClient,
     ) -> None:
         self._loop = loop
-        self._on_heard = on_heard
-        self._copies = copies
+        self._on_part = on_part
+        self._replicas = replicas
         self._source = source
-        self._caller = caller
-        self._on_taken = on_taken
+        self._make_client = make_client
+        self._on_applied = on_applied
         self._on_failed = on_failed
-        self._callers: dict[str, HttpCaller] = {}
+        self._clients: dict[str, HttpClient] = {}
         self._address = ""
-        self._life = 0
-        self._numbers: dict[str, int] = {}
-        self._is_asking = False
-        self._reader_heard_at: float | None = None
+        self._incarnation = 0
+        self._sequence_numbers: dict[str, int] = {}
+        self._is_querying = False
+        self._reader_response_at: float | None = None
         self.is_running = False
 
     def follows_reader(self) -> bool:
         """Return whether the router that this one follows is a store reader and responds."""
-        heard_at = self._reader_heard_at
-        if not self.is_running or heard_at is None:
+        responded_at = self._reader_response_at
+        if not self.is_running or responded_at is None:
             return False
-        return self._loop.now() - heard_at <= HOLD_S + ANSWER_TIMEOUT_S
+        return self._loop.now() - responded_at <= HOLD_S + RESPONSE_TIMEOUT_S
 
     def start(self) -> None:
         """Start to follow, unless already running."""
         self.is_running = True
-        if not self._is_asking:
-            self._ask()
+        if not self._is_querying:
+            self._send_query()
 
     def stop(self) -> None:
         """Stop; a pending response is still applied."""
         self.is_running = False
 
-    def _ask(self) -> None:
+    def _send_query(self) -> None:
         address = self._source()
         if not self.is_running or address is None:
-            self._is_asking = False
+            self._is_querying = False
             return
         if address != self._address:
             self._address = address
-            self._life = 0
-            self._numbers = {}
-        self._is_asking = True
-        is_new = not all(copy.is_known for copy in self._copies.values())
-        question = FollowQuestion(self._life, self._numbers, int(HOLD_S * 1000), is_new)
-        call = HttpCall(b"POST", FOLLOW_PATH, [], ENCODE(question))
+            self._incarnation = 0
+            self._sequence_numbers = {}
+        self._is_querying = True
+        is_new = not all(replica.is_loaded for replica in self._replicas.values())
+        query = FollowQuery(self._incarnation, self._sequence_numbers, int(HOLD_S * 1000), is_new)
+        call = HttpCall(b"POST", FOLLOW_PATH, [], ENCODE(query))
         sent_at = self._loop.now()
-        caller = self._callers.get(address)
-        if caller is None:
-            caller = self._callers[address] = self._caller(self._loop, address)
+        client = self._clients.get(address)
+        if client is None:
+            client = self._clients[address] = self._make_client(self._loop, address)
         # A router without state gets its response at once or not at all.
-        caller.call(
+        client.call(
             call,
-            NEW_TIMEOUT_S if is_new else HOLD_S + ANSWER_TIMEOUT_S,
-            lambda answer: self._on_answer(answer, address, sent_at),
-            self._hear,
+            INITIAL_TIMEOUT_S if is_new else HOLD_S + RESPONSE_TIMEOUT_S,
+            lambda response: self._on_response(response, address, sent_at),
+            self._record_part,
         )
 
-    def _hear(self) -> None:
+    def _record_part(self) -> None:
         """Record that a part of a large response arrived, so its sender is alive."""
-        if self._reader_heard_at is not None:
-            self._reader_heard_at = self._loop.now()
-        self._on_heard()
-
-    def _on_answer(self, answer: HttpAnswer | None, address: str, sent_at: float) -> None:
-        self._is_asking = False
-        if answer is None or answer.status != 200:
-            status = None if answer is None else answer.status
+        if self._reader_response_at is not None:
+            self._reader_response_at = self._loop.now()
+        self._on_part()
+
+    def _on_response(self, response: HttpAnswer | None, address: str, sent_at: float) -> None:
+        self._is_querying = False
+        if response is None or response.status != 200:
+            status = None if response is None else response.status
             log_trouble("relay_lost", address=address, status=status)
-            self._reader_heard_at = None
-            self._on_failed(address, answer is not None and _says_store_is_lost(answer))
+            self._reader_response_at = None
+            self._on_failed(address, response is not None and _reports_lost_store(response))
             return
         try:
-            news = ANSWER.decode(answer.body)
-            objects = {name: unpacked(item.objects) for name, item in news.datasets.items()}
+            relayed = RESPONSE_DECODER.decode(response.body)
+            objects = {
+                name: decode_objects(item.objects) for name, item in relayed.datasets.items()
+            }
         except (msgspec.MsgspecError, zlib.error):
             log_trouble("relay_unreadable", address=address)
-            self._reader_heard_at = None
+            self._reader_response_at = None
             self._on_failed(address, False)
             return
-        self._life = news.life
-        self._reader_heard_at = self._loop.now() if news.is_reader else None
-        for name, dataset in news.datasets.items():
-            not_before = sent_at + news.held_ms / 1000.0
-            self._take(self._copies[Dataset(name)], dataset, objects[name], not_before)
-            self._numbers[name] = dataset.number
-        self._on_taken()
-        self._ask()
-
-    def _take(
+        self._incarnation = relayed.incarnation
+        self._reader_response_at = self._loop.now() if relayed.is_reader else None
+        for name, dataset in relayed.datasets.items():
+            not_before = sent_at + relayed.held_ms / 1000.0
+            self._apply(self._replicas[Dataset(name)], dataset, objects[name], not_before)
+            self._sequence_numbers[name] = dataset.sequence_number
+        self._on_applied()
+        self._send_query()
+
+    def _apply(
         self,
-        copy: DatasetCopy,
-        news: RelayedDataset,
+        replica: DatasetReplica,
+        relayed: RelayedDataset,
         objects: list[RelayedObject],
         not_before: float,
     ) -> None:
         """Apply one dataset; the response was sent at ``not_before`` or later."""
-        if copy.revision is not None and news.revision < copy.revision:
+        if replica.revision is not None and relayed.revision < replica.revision:
             # That router is behind: its changes are outdated, and so is its age.
             return
         now = self._loop.now()
@@ -163,16 +165,16 @@
             for item in objects
             if item.missing_ms is not None
         }
-        if news.is_whole:
-            copy.replace(changed, news.revision, False, now, missing)
+        if relayed.is_snapshot:
+            replica.replace(changed, relayed.revision, False, now, missing)
         else:
-            gone = [item.name for item in objects if not item.revision]
-            copy.apply(changed, gone, news.revision, False, now, missing)
-        copy.confirm(not_before - news.age_ms / 1000.0)
+            deleted = [item.name for item in objects if not item.revision]
+            replica.apply(changed, deleted, relayed.revision, False, now, missing)
+        replica.confirm(not_before - relayed.age_ms / 1000.0)
 
 
-def _says_store_is_lost(answer: HttpAnswer) -> bool:
+def _reports_lost_store(response: HttpAnswer) -> bool:
     try:
-        return REFUSAL.decode(answer.body).has_lost_store
+        return REFUSAL_DECODER.decode(response.body).has_lost_store
     except msgspec.MsgspecError:
         return False
--- a/src/martenrun/router/router_table.py
+++ b/src/martenrun/router/router_table.py
@@ -10,41 +10,41 @@
 
 from martenrun.router.known_router import KnownRouter
 from martenrun.router.log import log_event, log_trouble
-from martenrun.router.peer_messages import ReadingNews, RouterBeat, RouterRecord
+from martenrun.router.peer_messages import LoadUpdate, RouterHeartbeat, RouterRecord
 
 FULL_RATE_ROUTERS = 16
-SLOWEST_RATE = 2.0
-"""Above this many routers the gossip interval grows with their number, up to SLOWEST_RATE times.
+MAX_SLOWDOWN = 2.0
+"""Above this many routers the gossip interval grows with their number, up to MAX_SLOWDOWN times.
 
 The traffic that each router receives then stays constant, while records of others get older.
 """
 
-MOST_TOLD_ROUTERS = 100
+MAX_BROADCAST_ROUTERS = 100
 """Up to this many routers each load update goes to all of them, above it to the own zone only."""
 
 DEAD_AFTER_S = 2.0
 """Time without a newer heartbeat after which a router of a small deployment counts as dead."""
 
-MOST_SLOWNESS_OF_DEATH = 2.0
+MAX_DEAD_AFTER_SLOWDOWN = 2.0
 """Maximum factor by which that time grows in a large deployment."""
 
-ON_ITS_WAY_S = 2.0
-"""Maximum age at which a newer record counts as received in time, see :meth:`_risen_at`.
+MAX_PROPAGATION_S = 2.0
+"""Maximum age at which a newer record counts as received in time, see :meth:`_liveness_time`.
 
 A live router's record may take this long over several hops in a small deployment, in seconds.
 """
 
-FORGOTTEN_AFTER_S = 20.0
+FORGET_AFTER_S = 20.0
 """Time after which a dead router is neither counted for the retry budget nor gossiped about."""
 
-MOST_DEPARTED = 512
+MAX_DEPARTED = 512
 """Maximum number of forgotten routers whose last records are kept; the oldest are dropped first.
 
 A copy of a record may arrive long after its router was forgotten, for example from the buffer of a
 suspended machine.  Without the kept record it would look like a new router.
 """
 
-OVERTAKEN = sys.maxsize
+SUPERSEDED = sys.maxsize
 """Last heartbeat of an incarnation that was replaced by a later one at its address."""
 
 MS_PER_S = 1000.0
@@ -56,10 +56,10 @@
     def __init__(self, own: RouterRecord) -> None:
         self.own = own
         self._known: dict[str, KnownRouter] = {}
-        self._by_life: dict[int, KnownRouter] = {}
+        self._by_incarnation_id: dict[int, KnownRouter] = {}
         self._departed: dict[str, RouterRecord] = {}
-        self._ended_lives: dict[int, int] = {}
-        self._slowness = 1.0
+        self._retired_incarnations: dict[int, int] = {}
+        self._slowdown = 1.0
 
     def merge(self, records: list[RouterRecord], now: float, late_s: float = 0.0) -> None:
         """Merge records, the sender's first.
@@ -70,103 +70,113 @@
         Args:
             late_s: how long the records may have waited unread on this router, in seconds.
         """
-        teller = records[0].address if records else ""
+        sender = records[0].address if records else ""
         for record in records:
             if record.address == self.own.address:
                 if record.incarnation > self.own.incarnation:
                     self.own.incarnation = record.incarnation + 1
                 continue
-            beaten_at = now - late_s - record.age_ms / MS_PER_S
+            heartbeat_at = now - late_s - record.age_ms / MS_PER_S
             known = self._known.get(record.address)
             if known is None:
-                self._take_unknown(record, beaten_at, teller, now)
+                self._add_unknown(record, heartbeat_at, sender, now)
             elif record.incarnation > known.record.incarnation:
-                self._add(record, beaten_at, now)
+                self._add(record, heartbeat_at, now)
             elif record.incarnation == known.record.incarnation:
-                known.hear(record.beat, beaten_at, self._risen_at(beaten_at, now))
-                if record.beat > known.record.beat:
-                    known.take_record(record, beaten_at)
+                known.merge_heartbeat(
+                    record.heartbeat, heartbeat_at, self._liveness_time(heartbeat_at, now)
+                )
+                if record.heartbeat > known.record.heartbeat:
+                    known.replace_record(record, heartbeat_at)
 
-    def merge_beats(self, beats: list[RouterBeat], now: float, late_s: float = 0.0) -> list[int]:
+    def merge_heartbeats(
+        self, heartbeats: list[RouterHeartbeat], now: float, late_s: float = 0.0
+    ) -> list[int]:
         """Merge heartbeats of routers whose records are known; see :meth:`merge`.
 
         Returns:
             IDs of live incarnations whose records are missing.
         """
-        lacking = []
-        for told in beats:
-            known = self._by_life.get(told.life)
-            beaten_at = now - late_s - told.age_ms / MS_PER_S
+        missing = []
+        for heartbeat in heartbeats:
+            known = self._by_incarnation_id.get(heartbeat.incarnation_id)
+            heartbeat_at = now - late_s - heartbeat.age_ms / MS_PER_S
             if known is not None:
-                known.hear(told.beat, beaten_at, self._risen_at(beaten_at, now))
-            elif told.beat > self._ended_lives.get(told.life, -1) and (
-                now - beaten_at <= FORGOTTEN_AFTER_S
-            ):
-                lacking.append(told.life)
-        return lacking
-
-    def records_of(self, lives: list[int], now: float) -> list[RouterRecord]:
+                known.merge_heartbeat(
+                    heartbeat.heartbeat, heartbeat_at, self._liveness_time(heartbeat_at, now)
+                )
+            elif heartbeat.heartbeat > self._retired_incarnations.get(
+                heartbeat.incarnation_id, -1
+            ) and (now - heartbeat_at <= FORGET_AFTER_S):
+                missing.append(heartbeat.incarnation_id)
+        return missing
+
+    def records_of(self, incarnation_ids: list[int], now: float) -> list[RouterRecord]:
         """Return the known records of these incarnations, with the ages of their heartbeats."""
-        found = [self._by_life[life] for life in lives if life in self._by_life]
+        found = [
+            self._by_incarnation_id[item]
+            for item in incarnation_ids
+            if item in self._by_incarnation_id
+        ]
         for known in found:
-            known.record.age_ms = _age_ms(known.told_at, now)
+            known.record.age_ms = _age_ms(known.record_at, now)
         return [known.record for known in found]
 
-    def knows(self, record: RouterRecord) -> bool:
+    def knows_incarnation(self, record: RouterRecord) -> bool:
         """Return whether the record's incarnation, or a later one at its address, is known."""
         if record.address == self.own.address:
             return True
         known = self._known.get(record.address)
         return known is not None and known.record.incarnation >= record.incarnation
 
-    def _add(self, record: RouterRecord, beaten_at: float, now: float) -> None:
+    def _add(self, record: RouterRecord, heartbeat_at: float, now: float) -> None:
         """Add a router, replacing an earlier incarnation at its address."""
         earlier = self._known.get(record.address)
         if earlier is not None:
-            self._end_life(earlier, OVERTAKEN)
-        known = KnownRouter(record, beaten_at, self._risen_at(beaten_at, now))
+            self._retire_incarnation(earlier, SUPERSEDED)
+        known = KnownRouter(record, heartbeat_at, self._liveness_time(heartbeat_at, now))
         self._known[record.address] = known
-        self._by_life[known.life] = known
+        self._by_incarnation_id[known.incarnation_id] = known
 
-    def _end_life(self, known: KnownRouter, last_beat: int) -> None:
-        """Remove an incarnation; only heartbeats above ``last_beat`` can bring it back."""
-        del self._by_life[known.life]
-        self._ended_lives[known.life] = last_beat
-        while len(self._ended_lives) > MOST_DEPARTED:
-            del self._ended_lives[next(iter(self._ended_lives))]
+    def _retire_incarnation(self, known: KnownRouter, last_heartbeat: int) -> None:
+        """Remove an incarnation; only heartbeats above ``last_heartbeat`` can bring it back."""
+        del self._by_incarnation_id[known.incarnation_id]
+        self._retired_incarnations[known.incarnation_id] = last_heartbeat
+        while len(self._retired_incarnations) > MAX_DEPARTED:
+            del self._retired_incarnations[next(iter(self._retired_incarnations))]
 
-    def _take_unknown(
-        self, record: RouterRecord, beaten_at: float, teller: str, now: float
+    def _add_unknown(
+        self, record: RouterRecord, heartbeat_at: float, sender: str, now: float
     ) -> None:
         """Add an unknown router, unless it has been dead for long."""
         departed = self._departed.get(record.address)
-        if departed is not None and _order(record) <= _order(departed):
+        if departed is not None and _version(record) <= _version(departed):
             return
-        if now - beaten_at > FORGOTTEN_AFTER_S:
+        if now - heartbeat_at > FORGET_AFTER_S:
             return
         self._departed.pop(record.address, None)
-        self._add(record, beaten_at, now)
+        self._add(record, heartbeat_at, now)
         log_event(
             "router_heard",
             address=record.address,
             zone=record.zone,
-            told_by=teller,
+            told_by=sender,
             incarnation=record.incarnation,
-            beat=record.beat,
-            age_ms=round((now - beaten_at) * MS_PER_S),
+            beat=record.heartbeat,
+            age_ms=round((now - heartbeat_at) * MS_PER_S),
         )
 
-    def _risen_at(self, beaten_at: float, now: float) -> float:
+    def _liveness_time(self, heartbeat_at: float, now: float) -> float:
         """Return the time from which the silence of a newer record's router is counted.
 
         A record takes several hops to reach all routers, more in a larger deployment, so a small
         age says little.  Older records were not in transit but stored by some router: for these
         the heartbeat's own time counts.
         """
-        on_its_way_s = ON_ITS_WAY_S * self.slowness()
-        return now if now - beaten_at <= on_its_way_s else beaten_at
+        on_its_way_s = MAX_PROPAGATION_S * self.slowdown()
+        return now if now - heartbeat_at <= on_its_way_s else heartbeat_at
 
-    def later_life(self, record: RouterRecord) -> RouterRecord | None:
+    def later_incarnation(self, record: RouterRecord) -> RouterRecord | None:
         """Return the newest known record of a later incarnation at the record's address, or None.
 
         A router whose wall clock went back starts with an incarnation below its last one and must
@@ -178,25 +188,27 @@
             return None
         return newest
 
-    def take_reading(self, news: ReadingNews, now: float, late_s: float = 0.0) -> bool:
+    def merge_load(self, update: LoadUpdate, now: float, late_s: float = 0.0) -> bool:
         """Merge another router's load on one runner; return whether it was newer.
 
         Args:
             late_s: how long the update may have waited unread on this router, in seconds.
         """
-        known = self._known.get(news.address)
-        if known is None or news.incarnation != known.record.incarnation:
+        known = self._known.get(update.address)
+        if known is None or update.incarnation != known.record.incarnation:
             return False
-        if news.beat <= known.record.beat:
+        if update.heartbeat <= known.record.heartbeat:
             return False
-        beaten_at = now - late_s
-        known.record.beat = news.beat
+        heartbeat_at = now - late_s
+        known.record.heartbeat = update.heartbeat
         for instance in known.record.loads:
-            known.readings_at.setdefault(instance, known.told_at)
-        known.record.loads[news.instance] = news.load
-        known.readings_at[news.instance] = beaten_at
-        known.told_at = beaten_at
-        known.hear(news.beat, beaten_at, self._risen_at(beaten_at, now))
+            known.readings_at.setdefault(instance, known.record_at)
+        known.record.loads[update.instance] = update.load
+        known.readings_at[update.instance] = heartbeat_at
+        known.record_at = heartbeat_at
+        known.merge_heartbeat(
+            update.heartbeat, heartbeat_at, self._liveness_time(heartbeat_at, now)
+        )
         return True
 
     def live(self, now: float) -> list[RouterRecord]:
@@ -213,20 +225,20 @@
             known.risen_at for known in self._known.values() if now - known.risen_at > dead_after_s
         ]
 
-    def told(self) -> list[tuple[RouterRecord, float]]:
+    def timed_records(self) -> list[tuple[RouterRecord, float]]:
         """Return the records of all known routers, each with the time of its heartbeat."""
-        return [(known.record, known.told_at) for known in self._known.values()]
+        return [(known.record, known.record_at) for known in self._known.values()]
 
     def _dead_after_s(self) -> float:
-        return DEAD_AFTER_S * min(MOST_SLOWNESS_OF_DEATH, self.slowness())
+        return DEAD_AFTER_S * min(MAX_DEAD_AFTER_SLOWDOWN, self.slowdown())
 
-    def note_changes(self, now: float) -> None:
+    def update_liveness(self, now: float) -> None:
         """Update the live count, expire old prefill loads and log changes in liveness."""
         for known in self._known.values():
-            known.end_readings(now)
-        longest_s = DEAD_AFTER_S * MOST_SLOWNESS_OF_DEATH
+            known.expire_prefill(now)
+        longest_s = DEAD_AFTER_S * MAX_DEAD_AFTER_SLOWDOWN
         living = sum(now - known.risen_at <= longest_s for known in self._known.values())
-        self._slowness = _slowness(1 + living)
+        self._slowdown = _slowdown(1 + living)
         dead_after_s = self._dead_after_s()
         for address, known in self._known.items():
             silent_s = now - known.risen_at
@@ -234,22 +246,22 @@
             if is_alive != known.was_alive:
                 known.was_alive = is_alive
                 event = "router_back" if is_alive else "router_silent"
-                beat, incarnation = known.beat, known.record.incarnation
+                heartbeat, incarnation = known.heartbeat, known.record.incarnation
                 log_event(
                     event,
                     address=address,
                     silent_ms=round(silent_s * MS_PER_S),
                     incarnation=incarnation,
-                    beat=beat,
+                    beat=heartbeat,
                 )
 
-    def oldest_alive_s(self, now: float) -> float:
+    def max_live_silence_s(self, now: float) -> float:
         """Return the longest silence among the routers that count as alive, in seconds."""
         dead_after_s = self._dead_after_s()
         silent_s = [now - known.risen_at for known in self._known.values()]
         return max((item for item in silent_s if item <= dead_after_s), default=0.0)
 
-    def newest(self, count: int, now: float) -> list[RouterRecord]:
+    def select_records(self, count: int, now: float) -> list[RouterRecord]:
         """Return records with the ages of their heartbeats: routers with a duty, then the newest.
 
         A router that does not know the store readers or the lease holder would take over the duty.
@@ -262,10 +274,10 @@
 
         ordered = sorted(self._known.values(), key=order, reverse=True)
         for known in ordered[:count]:
-            known.record.age_ms = _age_ms(known.told_at, now)
+            known.record.age_ms = _age_ms(known.record_at, now)
         return [known.record for known in ordered[:count]]
 
-    def beats(self, most: int, now: float) -> list[RouterBeat]:
+    def live_heartbeats(self, limit: int, now: float) -> list[RouterHeartbeat]:
         """Return the latest heartbeats of the live routers, the most recent first.
 
         In a large deployment a datagram holds only some of the records, so most would be outdated
@@ -275,15 +287,15 @@
         alive = [known for known in self._known.values() if now - known.risen_at <= dead_after_s]
         alive.sort(key=lambda known: known.risen_at, reverse=True)
         return [
-            RouterBeat(known.life, known.beat, _age_ms(known.beaten_at, now))
-            for known in alive[:most]
+            RouterHeartbeat(known.incarnation_id, known.heartbeat, _age_ms(known.beaten_at, now))
+            for known in alive[:limit]
         ]
 
     def addresses(self) -> list[str]:
         """Return the addresses of all known routers that have not been forgotten."""
         return list(self._known)
 
-    def told_at_once(self) -> list[str]:
+    def load_update_addresses(self) -> list[str]:
         """Return the addresses of the routers that receive load updates at once.
 
         In a large deployment only the own zone, to bound the traffic that each router receives.
@@ -295,48 +307,48 @@
 
     def is_large(self) -> bool:
         """Return whether there are too many routers to send every update to all of them."""
-        return self.count() > MOST_TOLD_ROUTERS
+        return self.count() > MAX_BROADCAST_ROUTERS
 
     def forget_dead(self, now: float) -> None:
         """Forget routers that have been dead for long."""
         for address, known in list(self._known.items()):
-            if now - known.risen_at > FORGOTTEN_AFTER_S:
+            if now - known.risen_at > FORGET_AFTER_S:
                 del self._known[address]
-                self._end_life(known, known.beat)
-                known.record.beat = known.beat
+                self._retire_incarnation(known, known.heartbeat)
+                known.record.heartbeat = known.heartbeat
                 self._departed[address] = known.record
                 log_trouble("router_forgotten", address=address)
-        while len(self._departed) > MOST_DEPARTED:
+        while len(self._departed) > MAX_DEPARTED:
             del self._departed[next(iter(self._departed))]
 
-    def slowness(self) -> float:
+    def slowdown(self) -> float:
         """Return the factor by which intervals are longer than in a small deployment.
 
         Only live routers count: those that left recently must not slow down the gossip.
         """
-        return self._slowness
+        return self._slowdown
 
     def count(self) -> int:
         """Return the number of known routers, including this one."""
         return 1 + len(self._known)
 
 
-def longest_named_s(routers: int) -> float:
+def max_detection_s(routers: int) -> float:
     """Return for how long after its last heartbeat a router may count as alive, in seconds.
 
     Network delays of the record are not included.
     """
-    slowness = _slowness(routers)
-    return ON_ITS_WAY_S * slowness + DEAD_AFTER_S * min(MOST_SLOWNESS_OF_DEATH, slowness)
+    slowdown = _slowdown(routers)
+    return MAX_PROPAGATION_S * slowdown + DEAD_AFTER_S * min(MAX_DEAD_AFTER_SLOWDOWN, slowdown)
 
 
-def _slowness(routers: int) -> float:
-    return min(SLOWEST_RATE, max(1.0, routers / FULL_RATE_ROUTERS))
+def _slowdown(routers: int) -> float:
+    return min(MAX_SLOWDOWN, max(1.0, routers / FULL_RATE_ROUTERS))
 
 
-def _age_ms(beaten_at: float, now: float) -> int:
-    return max(0, math.ceil((now - beaten_at) * MS_PER_S))
+def _age_ms(heartbeat_at: float, now: float) -> int:
+    return max(0, math.ceil((now - heartbeat_at) * MS_PER_S))
 
 
-def _order(record: RouterRecord) -> tuple[int, int]:
-    return record.incarnation, record.beat
+def _version(record: RouterRecord) -> tuple[int, int]:
+    return record.incarnation, record.heartbeat
--- a/src/martenrun/router/runner_request.py
+++ b/src/martenrun/router/runner_request.py
@@ -26,7 +26,7 @@
     """Return what a placement is asked for a request."""
     now = world.loop.now()
     call = admitted.call
-    wanted = world.weights.wanted.get(call.model) if call.model else None
+    wanted = world.weights.targets.get(call.model) if call.model else None
     return PlacementQuestion(
         parts=call.parts,
         needed_tokens=call.prompt_tokens + EXPECTED_ANSWER_TOKENS,
--- a/src/martenrun/router/silence.py
+++ b/src/martenrun/router/silence.py
@@ -1,7 +1,7 @@
 """Which runners this router hears nothing from, and what other routers tell of that."""
 
 from martenrun.router.log import log_event
-from martenrun.router.peer_messages import SilenceNews
+from martenrun.router.peer_messages import UnresponsiveRunnerUpdate
 from martenrun.router.runner_state import RunnerState
 from martenrun.router.world import World
 
@@ -40,7 +40,7 @@
     return since is not None and any(state.heard_at > since for state in states)
 
 
-def take_silence(world: World, news: SilenceNews, now: float) -> None:
+def take_silence(world: World, news: UnresponsiveRunnerUpdate, now: float) -> None:
     """Take in that a router hears nothing from a runner."""
     state = world.pool.state(news.instance)
     if state is None:
--- a/src/martenrun/router/store_client.py
+++ b/src/martenrun/router/store_client.py
@@ -20,10 +20,10 @@
 """Maximum number of idle connections kept per address."""
 
 
-SILENCE_S = 0.6
+MAX_STALL_S = 0.6
 """Maximum pause within a response, in seconds."""
 
-LONGEST_ANSWER_S = 4.0
+MAX_RESPONSE_S = 4.0
 """Maximum duration of a response beyond the timeout of its call, in seconds.
 
 Enough for 4 MB over 10 Mbit/s with a quarter left for requests: four times the maximum size of an
@@ -35,37 +35,37 @@
     return None
 
 
-class CallReader:
+class ResponseReader:
     """Collects one response; calls back exactly once, with None if the call failed or timed out.
 
     Args:
         timeout_s: how long to wait for the first part of the response, in seconds.
-        on_heard: called for each part of a successful response; refusals do not count, however
+        on_part: called for each part of a successful response; refusals do not count, however
             quickly they arrive.
-        longest_s: maximum time until the response is complete, in seconds.
+        max_response_s: maximum time until the response is complete, in seconds.
     """
 
     def __init__(
         self,
         loop: Loop,
         timeout_s: float,
-        on_answer: Callable[[HttpAnswer | None], None],
-        on_heard: Callable[[], None] = _nothing,
-        longest_s: float | None = None,
+        on_response: Callable[[HttpAnswer | None], None],
+        on_part: Callable[[], None] = _nothing,
+        max_response_s: float | None = None,
     ) -> None:
         self._loop = loop
-        self._on_answer = on_answer
-        self._on_heard = on_heard
+        self._on_response = on_response
+        self._on_part = on_part
         self._ends_at = loop.now() + (
-            timeout_s + LONGEST_ANSWER_S if longest_s is None else longest_s
+            timeout_s + MAX_RESPONSE_S if max_response_s is None else max_response_s
         )
-        self._heard_at: float | None = None
+        self._last_part_at: float | None = None
         self._status = 0
         self._headers: Headers = []
         self._body = bytearray()
         self._is_over = False
         self.connection: ClientConnection | None = None
-        self._timer: Timer = loop.call_later(timeout_s, self._look)
+        self._timer: Timer = loop.call_later(timeout_s, self._check_timeout)
 
     def on_sent(self) -> None:
         """Do nothing: the timeout counts from the start of the call."""
@@ -74,12 +74,12 @@
         """Record the status and headers."""
         self._status = status
         self._headers = headers
-        self._hear()
+        self._record_part()
 
     def on_body(self, data: bytes) -> None:
         """Append a part of the body."""
         self._body += data
-        self._hear()
+        self._record_part()
 
     def on_complete(self) -> None:
         """Report the complete response."""
@@ -89,33 +89,33 @@
         """Report that the call failed."""
         self._finish(None)
 
-    def _hear(self) -> None:
-        self._heard_at = self._loop.now()
+    def _record_part(self) -> None:
+        self._last_part_at = self._loop.now()
         if self._status == STATUS_OK:
-            self._on_heard()
+            self._on_part()
 
-    def _look(self) -> None:
+    def _check_timeout(self) -> None:
         """Give up the call unless its response is arriving, in which case check again later."""
         now = self._loop.now()
-        silent_at = now if self._heard_at is None else self._heard_at + SILENCE_S
-        left_s = min(silent_at, self._ends_at) - now
-        if left_s > 0:
-            self._timer = self._loop.call_later(left_s, self._look)
+        stalled_at = now if self._last_part_at is None else self._last_part_at + MAX_STALL_S
+        remaining_s = min(stalled_at, self._ends_at) - now
+        if remaining_s > 0:
+            self._timer = self._loop.call_later(remaining_s, self._check_timeout)
             return
-        if self._heard_at is not None:
+        if self._last_part_at is not None:
             log_trouble("answer_given_up", status=self._status, bytes=len(self._body))
         if self.connection is not None:
             self.connection.close()
         self._finish(None)
 
-    def _finish(self, answer: HttpAnswer | None) -> None:
+    def _finish(self, response: HttpAnswer | None) -> None:
         if not self._is_over:
             self._is_over = True
             self._timer.cancel()
-            self._on_answer(answer)
+            self._on_response(response)
 
 
-class HttpCaller:
+class HttpClient:
     """HTTP client for one address."""
 
     def __init__(self, loop: Loop, address: str) -> None:
@@ -127,12 +127,12 @@
         self,
         call: HttpCall,
         timeout_s: float,
-        on_answer: Callable[[HttpAnswer | None], None],
-        on_heard: Callable[[], None] = _nothing,
-        longest_s: float | None = None,
+        on_response: Callable[[HttpAnswer | None], None],
+        on_part: Callable[[], None] = _nothing,
+        max_response_s: float | None = None,
     ) -> None:
-        """Make a call; ``on_answer`` receives the response or None; see :class:`CallReader`."""
-        reader = CallReader(self._loop, timeout_s, on_answer, on_heard, longest_s)
+        """Make a call and pass its response, or None, on; see :class:`ResponseReader`."""
+        reader = ResponseReader(self._loop, timeout_s, on_response, on_part, max_response_s)
         headers = [(b"Host", self._address.encode()), *call.headers]
         try:
             connection = self._connection()
@@ -146,11 +146,11 @@
         now = self._loop.now()
         while self._idle:
             connection = self._idle.pop()
-            rested_s = now - connection.idle_since
-            if connection.is_open and rested_s < (connection.keep_alive_s or MAXIMUM_IDLE_S) - 1:
+            idle_s = now - connection.idle_since
+            if connection.is_open and idle_s < (connection.keep_alive_s or MAXIMUM_IDLE_S) - 1:
                 return connection
             connection.close()
-        return ClientConnection(self._loop, self._address, self._keep, self._forget)
+        return ClientConnection(self._loop, self._address, self._keep, self._discard)
 
     def _keep(self, connection: ClientConnection) -> None:
         if len(self._idle) < KEPT_CONNECTIONS:
@@ -158,6 +158,6 @@
         else:
             connection.close()
 
-    def _forget(self, connection: ClientConnection) -> None:
+    def _discard(self, connection: ClientConnection) -> None:
         if connection in self._idle:
             self._idle.remove(connection)
--- a/src/martenrun/router/readers.py
+++ b/src/martenrun/router/store_readers.py
@@ -22,10 +22,10 @@
 FAILED_MEMORY_S = 1.5
 """How long a router is queried after the others once a query to it failed, in seconds."""
 
-UNREACHED_S = 1.2
+UNREACHABLE_S = 1.2
 """Time without any response from a reader after which some router starts to read, in seconds."""
 
-UNREACHED_SPREAD_S = 0.2
+UNREACHABLE_SPREAD_S = 0.2
 """Spread of the times at which routers that reach no reader start to read, in seconds per factor e.
 
 Among n routers the first start at once and the last after ln(n) times this, a few times as many in
@@ -47,7 +47,7 @@
 """Share of the highest capacity from which a router counts as strong."""
 
 
-def strong_first(duty: bytes, capacities: Mapping[str, float]) -> list[str]:
+def order_by_strength(duty: bytes, capacities: Mapping[str, float]) -> list[str]:
     """Return routers in order of preference for a duty: strong ones first, then by hashing.
 
     Args:
@@ -67,25 +67,25 @@
 
     Attributes:
         can_read: it has not lost the store.
-        reads: it announces that it reads the store.
+        is_reader: it announces that it reads the store.
         capacity: CPU available to it, in cores.
     """
 
     address: str
     can_read: bool
-    reads: bool = False
+    is_reader: bool = False
     capacity: float = 0.0
 
 
 @attrs.frozen
-class ReadingPlan:
+class ReadPlan:
     """How a router keeps its state current: from the store, from another router, or from both."""
 
     reads_store: bool
     source: str | None
 
 
-def chosen_readers(candidates: Sequence[Candidate]) -> list[str]:
+def select_readers(candidates: Sequence[Candidate]) -> list[str]:
     """Return the addresses of the readers, the preferred one first.
 
     Current readers go before other candidates, so that no router starts to read while there are
@@ -93,17 +93,17 @@
     """
     able = [candidate for candidate in candidates if candidate.can_read]
     if able:
-        return _by_weight(able)[:READERS]
-    return _by_weight(candidates)[:READERS_IN_OUTAGE]
+        return _order_candidates(able)[:READERS]
+    return _order_candidates(candidates)[:READERS_IN_OUTAGE]
 
 
-def _by_weight(candidates: Sequence[Candidate]) -> list[str]:
-    ordered = strong_first(b"readers", {item.address: item.capacity for item in candidates})
-    reading = {item.address for item in candidates if item.reads}
+def _order_candidates(candidates: Sequence[Candidate]) -> list[str]:
+    ordered = order_by_strength(b"readers", {item.address: item.capacity for item in candidates})
+    reading = {item.address for item in candidates if item.is_reader}
     return sorted(ordered, key=lambda address: address not in reading)
 
 
-class ReaderChoice:
+class ReadPlanner:
     """Plans the reads of one router; remembers which readers responded recently.
 
     Args:
@@ -126,22 +126,22 @@
         self._began_at = now
         self._reached_at = now
         self._is_served = False
-        self._reads = False
+        self._is_reader = False
         self._chosen_since: float | None = None
         self._rng = rng or random.Random()
-        self._lot = self._rng.random()
+        self._spread_draw = self._rng.random()
 
-    def note_reached(self, now: float, is_served: bool = True) -> None:
+    def record_response(self, now: float, is_served: bool = True) -> None:
         """Record a response from a reader; unserved if it only reports that it lost the store."""
         self._reached_at = now
         self._is_served = is_served
-        self._lot = self._rng.random()
+        self._spread_draw = self._rng.random()
 
-    def note_heard(self, now: float) -> None:
+    def record_partial_response(self, now: float) -> None:
         """Record that a reader's response is arriving, which may take long: it is reachable."""
         self._reached_at = now
 
-    def note_failed(self, address: str, now: float) -> None:
+    def record_failure(self, address: str, now: float) -> None:
         """Record that a query to a router failed."""
         self._failed_at[address] = now
         self._is_served = False
@@ -150,70 +150,78 @@
         failed_at = self._failed_at.get(address)
         return failed_at is not None and now - failed_at < FAILED_MEMORY_S
 
-    def _as_seen(self, candidate: Candidate, now: float) -> Candidate:
+    def _apply_failures(self, candidate: Candidate, now: float) -> Candidate:
         """Return the candidate, marked as unable to read if a query to it failed recently."""
         if self._has_failed(candidate.address, now):
             return attrs.evolve(candidate, can_read=False)
         return candidate
 
     def plan(
-        self, candidates: Sequence[Candidate], now: float, knows_all: bool = True
-    ) -> ReadingPlan:
+        self, candidates: Sequence[Candidate], now: float, has_all_datasets: bool = True
+    ) -> ReadPlan:
         """Return the next read plan.
 
         Args:
             candidates: all live routers, including this one.
-            knows_all: whether this router has some state of every dataset.
+            has_all_datasets: whether this router has some state of every dataset.
         """
-        substitutes = chosen_readers([self._as_seen(item, now) for item in candidates])
+        substitutes = select_readers([self._apply_failures(item, now) for item in candidates])
         if self._own not in substitutes:
             self._chosen_since = None
         elif self._chosen_since is None:
             self._chosen_since = now
-        if self._may_read(len(candidates), now, knows_all):
-            self._reads = True
+        if self._may_read(len(candidates), now, has_all_datasets):
+            self._is_reader = True
             self._reached_at = now
             # The store may be down: without any state, query another router as well.
-            helper = None if knows_all else self._source([], candidates, now, knows_all)
-            return ReadingPlan(True, helper)
-        readers = self._in_own_order(chosen_readers(candidates))
-        readers += self._in_own_order(substitutes)
-        source = self._source(readers, candidates, now, knows_all)
-        self._reads = source is None or self._is_out_of_reach(len(candidates), now)
-        return ReadingPlan(self._reads, source)
-
-    def _may_read(self, count: int, now: float, knows_all: bool) -> bool:
+            helper = (
+                None if has_all_datasets else self._source([], candidates, now, has_all_datasets)
+            )
+            return ReadPlan(True, helper)
+        readers = self._in_router_order(select_readers(candidates))
+        readers += self._in_router_order(substitutes)
+        source = self._source(readers, candidates, now, has_all_datasets)
+        self._is_reader = source is None or self._is_unreachable(len(candidates), now)
+        return ReadPlan(self._is_reader, source)
+
+    def _may_read(self, count: int, now: float, has_all_datasets: bool) -> bool:
         """Return whether this router reads, or starts to, because it is among the chosen."""
         if self._chosen_since is None:
             return False
-        if self._reads or not self._seeds or (self._is_seed and not knows_all):
+        if self._is_reader or not self._seeds or (self._is_seed and not has_all_datasets):
             return True
-        if not knows_all or now - self._began_at < VACANCY_S:
+        if not has_all_datasets or now - self._began_at < VACANCY_S:
             # A router that has just started knows too few others to determine the chosen ones.
-            return self._is_out_of_reach(count, now)
+            return self._is_unreachable(count, now)
         return not self._is_served or now - self._chosen_since >= VACANCY_S
 
-    def _is_out_of_reach(self, count: int, now: float) -> bool:
+    def _is_unreachable(self, count: int, now: float) -> bool:
         """Return whether no reader has responded for so long that this router starts to read."""
         routers = count if count > 1 else UNKNOWN_ROUTERS
-        later_s = UNREACHED_SPREAD_S * (math.log(routers) + math.log(max(self._lot, 1 / routers)))
-        return now - self._reached_at > UNREACHED_S + later_s
+        spread_s = UNREACHABLE_SPREAD_S * (
+            math.log(routers) + math.log(max(self._spread_draw, 1 / routers))
+        )
+        return now - self._reached_at > UNREACHABLE_S + spread_s
 
     def _source(
-        self, readers: list[str], candidates: Sequence[Candidate], now: float, knows_all: bool
+        self,
+        readers: list[str],
+        candidates: Sequence[Candidate],
+        now: float,
+        has_all_datasets: bool,
     ) -> str | None:
         """Return the router to query: a reader, else a seed while state is missing, else any."""
         ordered = readers
-        if not knows_all or not ordered:
+        if not has_all_datasets or not ordered:
             # Any router may help with old state, even one that has lost the store.
-            reading = {item.address for item in candidates if item.reads}
-            known = [item.address for item in candidates if item.address != self._own]
+            reading = {item.address for item in candidates if item.is_reader}
+            others = [item.address for item in candidates if item.address != self._own]
             ordered = [item for item in ordered if item in reading] + self._shuffled(self._seeds)
-            ordered += self._shuffled(known)
-        sound = [address for address in ordered if not self._has_failed(address, now)]
-        return next(iter(sound or ordered), None)
+            ordered += self._shuffled(others)
+        healthy = [address for address in ordered if not self._has_failed(address, now)]
+        return next(iter(healthy or ordered), None)
 
-    def _in_own_order(self, readers: Sequence[str]) -> list[str]:
+    def _in_router_order(self, readers: Sequence[str]) -> list[str]:
         """Return readers in an order that differs between routers, to spread the load."""
         others = [address for address in readers if address != self._own]
         return sorted(others, key=lambda item: weight(self._own.encode(), item))
--- a/src/martenrun/router/knowledge.py
+++ b/src/martenrun/router/store_state.py
@@ -17,14 +17,14 @@
 )
 from martenrun.router.route_table import RouteTable
 
-TOLD = 3
+GOSSIPED_VERSIONS = 3
 """Number of latest versions of the configuration, or of a model's weights, that are gossiped."""
 
 REMEMBERED_VERSIONS = 16
 """Number of versions of the configuration, or of a model's weights, whose time is kept."""
 
 
-class ConfigurationKnowledge:
+class ConfigurationState:
     """The newest known configuration, and when it was last confirmed to be the newest.
 
     Also tracks since when newer versions are in force on other routers: a router that has been
@@ -38,7 +38,7 @@
         self.confirmed_at: float | None = None
         self.on_changed: list[Callable[[Configuration], None]] = []
         self._is_readable = True
-        self._since: dict[int, float] = {}
+        self._in_force_since: dict[int, float] = {}
         self._behind_since: float | None = None
 
     @property
@@ -50,18 +50,18 @@
         """Return the age of the configuration in seconds; infinite before the first one."""
         return float("inf") if self.confirmed_at is None else now - self.confirmed_at
 
-    def take(self, configuration: Configuration) -> None:
+    def put(self, configuration: Configuration) -> None:
         """Put a configuration in force unless a newer one is known."""
         self._is_readable = True
         if self.table is not None and configuration.version <= self.version:
             return
         self.table = RouteTable(configuration)
-        self._behind_since = self._first_known_after(configuration.version)
+        self._behind_since = self._earliest_in_force_after(configuration.version)
         log_event("configuration_taken", version=configuration.version)
         for call in self.on_changed:
             call(configuration)
 
-    def note_unreadable(self) -> None:
+    def mark_unreadable(self) -> None:
         """Record that the store holds a configuration that cannot be decoded.
 
         The last valid one stays in force, but reads do not confirm it any more, because the newer
@@ -69,45 +69,47 @@
         """
         self._is_readable = False
 
-    def confirm(self, asked_at: float) -> bool:
+    def confirm(self, sent_at: float) -> bool:
         """Record that a read sent at ``asked_at`` found nothing newer; the time only increases.
 
         Returns:
             Whether the store holds the configuration that is in force on this router.
         """
-        if self._is_readable and (self.confirmed_at is None or asked_at > self.confirmed_at):
-            self.confirmed_at = asked_at
+        if self._is_readable and (self.confirmed_at is None or sent_at > self.confirmed_at):
+            self.confirmed_at = sent_at
         return self._is_readable
 
-    def hear(self, versions: list[tuple[int, int]], told_at: float) -> None:
+    def merge_versions(self, versions: list[tuple[int, int]], reported_at: float) -> None:
         """Merge the versions in force on other routers, with their ages in milliseconds.
 
         Repeated reports do not renew a version: its earliest time is kept.
         """
         for version, age_ms in versions:
-            since = told_at - age_ms / 1000.0
-            known = self._since.get(version)
+            since = reported_at - age_ms / 1000.0
+            known = self._in_force_since.get(version)
             if known is not None and known <= since:
                 continue
-            self._since[version] = since
+            self._in_force_since[version] = since
             if version > self.version:
                 behind_since = self._behind_since
                 self._behind_since = since if behind_since is None else min(since, behind_since)
-        if len(self._since) > REMEMBERED_VERSIONS:
-            for version in sorted(self._since)[:-REMEMBERED_VERSIONS]:
-                del self._since[version]
+        if len(self._in_force_since) > REMEMBERED_VERSIONS:
+            for version in sorted(self._in_force_since)[:-REMEMBERED_VERSIONS]:
+                del self._in_force_since[version]
 
-    def told(self, now: float) -> list[tuple[int, int]]:
+    def versions_in_force(self, now: float) -> list[tuple[int, int]]:
         """Return the latest versions in force on any router and their ages in milliseconds."""
-        newest = sorted(self._since.items())[-TOLD:]
+        newest = sorted(self._in_force_since.items())[-GOSSIPED_VERSIONS:]
         return [(version, int((now - since) * 1000)) for version, since in newest]
 
     def behind_s(self, now: float) -> float:
         """Return for how long a newer version has been in force on another router, in seconds."""
         return 0.0 if self._behind_since is None else now - self._behind_since
 
-    def _first_known_after(self, version: int) -> float | None:
-        return min((at for newer, at in self._since.items() if newer > version), default=None)
+    def _earliest_in_force_after(self, version: int) -> float | None:
+        return min(
+            (at for newer, at in self._in_force_since.items() if newer > version), default=None
+        )
 
 
 class RunnerDirectory:
@@ -119,64 +121,67 @@
 
     def __init__(self) -> None:
         self.runners: dict[str, Runner] = {}
-        self._lives: dict[str, str] = {}
+        self._instances: dict[str, str] = {}
 
     def put(self, runner: Runner) -> None:
         """Add or update an entry; a draining instance never becomes ready again."""
-        last = self._lives.get(runner.name)
+        last = self._instances.get(runner.name)
         if last is not None and last != runner.instance:
             log_event("runner_started_again", instance=runner.instance, before=last)
             del self.runners[last]
         known = self.runners.get(runner.instance)
-        self._lives[runner.name] = runner.instance
+        self._instances[runner.name] = runner.instance
         if known is None or runner.is_draining or not known.is_draining:
             self.runners[runner.instance] = runner
 
     def remove(self, name: str) -> None:
         """Remove a runner whose entry was deleted or cannot be decoded."""
-        self.runners.pop(self._lives.pop(name, ""), None)
+        self.runners.pop(self._instances.pop(name, ""), None)
 
-    def listed_at(self, address: str) -> list[str]:
+    def instances_at(self, address: str) -> list[str]:
         """Return the instances that are listed with an address."""
         return [key for key, runner in self.runners.items() if runner.address == address]
 
-    def has_ended(self, runner: Runner) -> bool:
+    def is_replaced(self, runner: Runner) -> bool:
         """Return whether a later instance with the same ID has replaced this one."""
-        return self._lives.get(runner.name, runner.instance) != runner.instance
+        return self._instances.get(runner.name, runner.instance) != runner.instance
 
 
-class WeightsKnowledge:
+class WeightsState:
     """The target versions of weights set by the operator, and when each became known."""
 
     def __init__(self) -> None:
-        self.wanted: dict[str, WantedWeights] = {}
+        self.targets: dict[str, WantedWeights] = {}
         self._known_since: dict[str, list[tuple[float, int]]] = {}
         self.on_changed: Callable[[], None] = _nothing
 
-    def take(self, wanted: WantedWeights, now: float) -> None:
+    def put(self, target: WantedWeights, now: float) -> None:
         """Set a target version unless a newer one is known."""
-        known = self.wanted.get(wanted.model)
-        if known is not None and known.version >= wanted.version:
+        known = self.targets.get(target.model)
+        if known is not None and known.version >= target.version:
             return
-        self.wanted[wanted.model] = wanted
-        history = self._known_since.setdefault(wanted.model, [])
-        history.append((now, wanted.version))
+        self.targets[target.model] = target
+        history = self._known_since.setdefault(target.model, [])
+        history.append((now, target.version))
         del history[:-REMEMBERED_VERSIONS]
-        log_event("weights_named", model=wanted.model, version=wanted.version)
+        log_event("weights_named", model=target.model, version=target.version)
         self.on_changed()
 
-    def namings(self, model: str) -> list[tuple[float, int]]:
+    def known_versions(self, model: str) -> list[tuple[float, int]]:
         """Return when each version of a model's weights became known, the latest last."""
         return self._known_since.get(model, [])
 
     def ages_ms(self, now: float) -> dict[str, list[tuple[int, int]]]:
         """Return for each model how long its latest versions have been known, in milliseconds."""
         return {
-            model: [(version, int((now - since) * 1000)) for since, version in history[-TOLD:]]
+            model: [
+                (version, int((now - since) * 1000))
+                for since, version in history[-GOSSIPED_VERSIONS:]
+            ]
             for model, history in self._known_since.items()
         }
 
-    def learn_ages(self, ages_ms: dict[str, list[tuple[int, int]]], now: float) -> None:
+    def merge_ages(self, ages_ms: dict[str, list[tuple[int, int]]], now: float) -> None:
         """Merge how long another router has known of versions."""
         for model, ages in ages_ms.items():
             history = dict((version, since) for since, version in self._known_since.get(model, ()))
@@ -199,10 +204,10 @@
 Read = TypeVar("Read")
 
 
-def decoded(stored: Raw, read: Callable[[Raw], Read]) -> Read | None:
+def decode_or_log(stored: Raw, decode: Callable[[Raw], Read]) -> Read | None:
     """Decode an object; return None and log a failure if it cannot be decoded."""
     try:
-        return read(stored)
+        return decode(stored)
     except UnreadableError as exc:
         name = stored.name if isinstance(stored, StoredObject) else None
         log_trouble("object_unreadable", name=name, fault=str(exc)[:100])
--- a/src/martenrun/router/knowledge_feed.py
+++ b/src/martenrun/router/store_state_feed.py
@@ -2,14 +2,14 @@
 
 from collections.abc import Callable, Mapping
 
-from martenrun.router.dataset_copy import CopyListener, DatasetCopy
-from martenrun.router.knowledge import decoded
+from martenrun.router.dataset_replica import DatasetReplica, ReplicaListener
 from martenrun.router.messages import Dataset, StoredObject
 from martenrun.router.metrics import Metrics
+from martenrun.router.store_state import decode_or_log
 from martenrun.router.world import World
 
 
-class KnowledgeFeed:
+class StoreStateFeed:
     """Replicas of the store's datasets, and the handlers of their changes.
 
     Objects that cannot be decoded are counted as ``objects_unreadable``.
@@ -25,20 +25,20 @@
         self._metrics = metrics
         self._newest_revision = 0
         listeners = {
-            Dataset.CONFIGURATION: CopyListener(self.put_configuration, _ignored, _nothing),
-            Dataset.RUNNERS: CopyListener(
+            Dataset.CONFIGURATION: ReplicaListener(self.put_configuration, _ignore, _nothing),
+            Dataset.RUNNERS: ReplicaListener(
                 self._put_runner, world.runners.remove, on_runners_settled
             ),
-            Dataset.WEIGHTS: CopyListener(self._put_weights, _ignored, _nothing),
-            Dataset.BLAME: CopyListener(self._put_blame, _ignored, _nothing),
+            Dataset.WEIGHTS: ReplicaListener(self._put_weights, _ignore, _nothing),
+            Dataset.BLAME: ReplicaListener(self._put_blame, _ignore, _nothing),
         }
-        self.copies: Mapping[Dataset, DatasetCopy] = {
-            dataset: DatasetCopy(dataset, listener) for dataset, listener in listeners.items()
+        self.replicas: Mapping[Dataset, DatasetReplica] = {
+            dataset: DatasetReplica(dataset, listener) for dataset, listener in listeners.items()
         }
 
     def confirm(self) -> None:
         """Record when the replica of the configuration was last confirmed."""
-        confirmed_at = self.copies[Dataset.CONFIGURATION].confirmed_at
+        confirmed_at = self.replicas[Dataset.CONFIGURATION].confirmed_at
         if confirmed_at is not None:
             self._world.configuration.confirm(confirmed_at)
 
@@ -47,16 +47,16 @@
         if stored.revision < self._newest_revision:
             return
         self._newest_revision = stored.revision
-        configuration = decoded(stored, self._world.dialect.read_configuration)
+        configuration = decode_or_log(stored, self._world.dialect.read_configuration)
         if configuration is None:
             self._count_unreadable(Dataset.CONFIGURATION)
-            self._world.configuration.note_unreadable()
+            self._world.configuration.mark_unreadable()
         else:
-            self._world.configuration.take(configuration)
+            self._world.configuration.put(configuration)
 
     def _put_runner(self, stored: StoredObject) -> None:
         """Update a runner; an entry that cannot be decoded removes the runner it listed before."""
-        runner = decoded(stored, self._world.dialect.read_runner)
+        runner = decode_or_log(stored, self._world.dialect.read_runner)
         if runner is None:
             self._count_unreadable(Dataset.RUNNERS)
             self._world.runners.remove(stored.name)
@@ -64,14 +64,14 @@
             self._world.runners.put(runner)
 
     def _put_weights(self, stored: StoredObject) -> None:
-        wanted = decoded(stored, self._world.dialect.read_weights)
-        if wanted is None:
+        target = decode_or_log(stored, self._world.dialect.read_weights)
+        if target is None:
             self._count_unreadable(Dataset.WEIGHTS)
         else:
-            self._world.weights.take(wanted, self._world.loop.now())
+            self._world.weights.put(target, self._world.loop.now())
 
     def _put_blame(self, stored: StoredObject) -> None:
-        records = decoded(stored, self._world.dialect.read_blame)
+        records = decode_or_log(stored, self._world.dialect.read_blame)
         if records is None:
             self._count_unreadable(Dataset.BLAME)
         else:
@@ -81,7 +81,7 @@
         self._metrics.count("objects_unreadable", dataset=dataset.value)
 
 
-def _ignored(_name: str) -> None:
+def _ignore(_name: str) -> None:
     return None
 
 
--- a/src/martenrun/router/keeper.py
+++ b/src/martenrun/router/store_sync.py
@@ -6,15 +6,15 @@
 import attrs
 
 from martenrun.net.loop import Loop
-from martenrun.router.dataset_copy import DatasetCopy
+from martenrun.router.dataset_replica import DatasetReplica
 from martenrun.router.dialect import Dialect
 from martenrun.router.log import log_event
 from martenrun.router.messages import Dataset
 from martenrun.router.peers import Peers
-from martenrun.router.readers import Candidate, ReaderChoice, ReadingPlan
-from martenrun.router.relay import OLDEST_RELAYED_S, RelaySource
+from martenrun.router.relay import MAX_RELAYED_AGE_S, RelayServer
 from martenrun.router.relay_follower import RelayFollower
-from martenrun.router.store_client import HttpCaller
+from martenrun.router.store_client import HttpClient
+from martenrun.router.store_readers import Candidate, ReadPlan, ReadPlanner
 from martenrun.router.store_watch import FollowSettings, StoreFollower
 
 CHECK_S = 0.2
@@ -31,7 +31,7 @@
 each would query all others in turn.
 """
 
-WAITS_S = {
+WATCH_WAITS_S = {
     Dataset.CONFIGURATION: 0.8,
     Dataset.RUNNERS: 2.0,
     Dataset.WEIGHTS: 2.5,
@@ -43,7 +43,7 @@
 broadcast crash-causing requests; the blame watch only serves routers that join later.
 """
 
-RESTS_S = {Dataset.RUNNERS: 0.2}
+WATCH_DELAYS_S = {Dataset.RUNNERS: 0.2}
 """How long the next watch of a dataset is delayed after changes, in seconds.
 
 Many runners change at once when they start or load weights; each change would end a watch and cause
@@ -54,91 +54,91 @@
 
 
 @attrs.frozen
-class KeeperParts:
+class StoreSyncParts:
     """Collaborators of a keeper.
 
     Attributes:
         seeds: addresses of routers to query while no other one is known.
-        caller: creates the client for one address.
+        make_client: creates the client for one address.
         rng: chooses the routers to query, and when to read if none can be reached.
     """
 
     loop: Loop
-    store: HttpCaller
-    dialect: Dialect
-    copies: Mapping[Dataset, DatasetCopy]
+    store: HttpClient
+    adapter: Dialect
+    replicas: Mapping[Dataset, DatasetReplica]
     peers: Peers
     seeds: Sequence[str] = ()
-    caller: Callable[[Loop, str], HttpCaller] = HttpCaller
+    make_client: Callable[[Loop, str], HttpClient] = HttpClient
     rng: random.Random = attrs.field(factory=random.Random)
 
 
-class Keeper:
+class StoreSync:
     """Runs the followers of the store and of other routers.
 
     Args:
         on_confirmed: called after each response that was applied.
     """
 
-    def __init__(self, parts: KeeperParts, on_confirmed: Callable[[], None]) -> None:
+    def __init__(self, parts: StoreSyncParts, on_confirmed: Callable[[], None]) -> None:
         self._loop = parts.loop
         self._peers = parts.peers
-        self._copies = parts.copies
+        self._replicas = parts.replicas
         self._on_confirmed = on_confirmed
         own = parts.peers.own
-        self._choice = ReaderChoice(own.address, self._loop.now(), parts.seeds, parts.rng)
+        self._planner = ReadPlanner(own.address, self._loop.now(), parts.seeds, parts.rng)
         self._lost_at: float | None = None
         self._source_address: str | None = None
         self._reads_store = False
-        self._is_reading_told = False
+        self._is_reading_announced = False
         self._failures = 0
-        self._ask_from = 0.0
-        self.relay = RelaySource(
+        self._query_from = 0.0
+        self.relay = RelayServer(
             self._loop,
-            parts.copies,
+            parts.replicas,
             own.incarnation,
             self._may_relay,
-            self._asks_in_vain,
-            lambda: self._is_reading(),
+            self._is_failing_to_read,
+            lambda: self._is_current(),
         )
         self._relay_follower = RelayFollower(
             self._loop,
-            parts.copies,
+            parts.replicas,
             lambda: self._source_address,
             self._on_relayed,
             self._on_relay_failed,
-            lambda: self._choice.note_heard(self._loop.now()),
-            parts.caller,
+            lambda: self._planner.record_partial_response(self._loop.now()),
+            parts.make_client,
         )
         self._followers = [
             StoreFollower(
                 self._loop,
                 parts.store,
-                parts.dialect,
-                FollowSettings(wait_s, RESTS_S.get(dataset, 0.0)),
-                parts.copies[dataset],
+                parts.adapter,
+                FollowSettings(wait_s, WATCH_DELAYS_S.get(dataset, 0.0)),
+                parts.replicas[dataset],
                 self._on_read,
             )
-            for dataset, wait_s in WAITS_S.items()
+            for dataset, wait_s in WATCH_WAITS_S.items()
         ]
 
     @property
-    def _is_all_known(self) -> bool:
-        return all(copy.is_known for copy in self._copies.values())
+    def _has_all_datasets(self) -> bool:
+        return all(replica.is_loaded for replica in self._replicas.values())
 
     @property
     def has_lost_store(self) -> bool:
         """Whether a call of this router to the store failed recently."""
         return self._lost_at is not None and self._loop.now() - self._lost_at < LOST_MEMORY_S
 
-    def note_store_lost(self) -> None:
+    def record_store_failure(self) -> None:
         """Record that another call to the store failed."""
         self._lost_at = self._loop.now()
 
     @property
     def reads_store(self) -> bool:
         """Whether this router is a store reader and receives responses."""
-        return self._reads_store and self._is_reading()
+        return self._reads_store and self._is_current()
 
     def start(self) -> None:
         """Start the periodic planning."""
@@ -147,21 +147,21 @@
     def _check(self) -> None:
         now = self._loop.now()
         if any(item.is_failing or item.is_overdue(now) for item in self._followers):
-            self._lose_store(now)
-        for copy in self._copies.values():
-            copy.drop_missing(now)
+            self._mark_store_lost(now)
+        for replica in self._replicas.values():
+            replica.drop_missing(now)
         self._plan(now)
         self._loop.call_later(CHECK_S, self._check)
 
-    def _lose_store(self, now: float) -> None:
+    def _mark_store_lost(self, now: float) -> None:
         """Broadcast at once that this router cannot read for others."""
-        is_news = not self.has_lost_store
+        is_first = not self.has_lost_store
         self._lost_at = now
-        if is_news:
-            self._peers.tell_now()
-            self.relay.drop_held()
+        if is_first:
+            self._peers.broadcast_record()
+            self.relay.refuse_pending()
 
-    def _plan_source(self, now: float) -> ReadingPlan:
+    def _plan_source(self, now: float) -> ReadPlan:
         own = self._peers.own
         followed = self._source_address if self._relay_follower.follows_reader() else None
         candidates = [
@@ -177,7 +177,7 @@
             for record in self._peers.live()
             if not record.is_leaving
         ]
-        plan = self._choice.plan(candidates, now, self._is_all_known)
+        plan = self._planner.plan(candidates, now, self._has_all_datasets)
         self._source_address = plan.source
         return plan
 
@@ -186,7 +186,7 @@
         if plan.reads_store != self._reads_store:
             log_event("reading_changed", reads_store=plan.reads_store, source=plan.source)
             self._reads_store = plan.reads_store
-            self._is_reading_told = False
+            self._is_reading_announced = False
         if plan.reads_store:
             for follower in self._followers:
                 follower.start()
@@ -196,23 +196,23 @@
             self._stop_reading()
         if self._source_address is None:
             self._relay_follower.stop()
-        elif now >= self._ask_from:
+        elif now >= self._query_from:
             self._relay_follower.start()
 
     def _stop_reading(self) -> None:
         for follower in self._followers:
             follower.stop()
 
-    def _asks_in_vain(self) -> bool:
+    def _is_failing_to_read(self) -> bool:
         """Return whether this router's requests to the store fail.
 
         A router that has stopped sending requests must not claim this: all routers would wait for
         each other's refusals, and no router would query the store while these are remembered (5 s
         after an outage).
         """
-        return self._reads_store and not self._is_reading()
+        return self._reads_store and not self._is_current()
 
-    def _is_reading(self) -> bool:
+    def _is_current(self) -> bool:
         return all(item.is_current for item in self._followers)
 
     def _may_relay(self) -> bool:
@@ -223,23 +223,23 @@
         """
         if self.has_lost_store:
             return False
-        if not self._is_reading() and not self._relay_follower.follows_reader():
+        if not self._is_current() and not self._relay_follower.follows_reader():
             return False
-        confirmed_at = self._copies[Dataset.CONFIGURATION].confirmed_at
-        return confirmed_at is not None and self._loop.now() - confirmed_at < OLDEST_RELAYED_S
+        confirmed_at = self._replicas[Dataset.CONFIGURATION].confirmed_at
+        return confirmed_at is not None and self._loop.now() - confirmed_at < MAX_RELAYED_AGE_S
 
     def _on_read(self) -> None:
         self._lost_at = None
-        if self.reads_store and not self._is_reading_told:
+        if self.reads_store and not self._is_reading_announced:
             # Until they learn of it, other routers start to read as well.
-            self._is_reading_told = True
-            self._peers.tell_now()
-        self.relay.copies_changed()
+            self._is_reading_announced = True
+            self._peers.broadcast_record()
+        self.relay.respond_with_changes()
         self._on_confirmed()
 
     def _on_relayed(self) -> None:
-        self._choice.note_reached(self._loop.now())
-        self.relay.copies_changed()
+        self._planner.record_response(self._loop.now())
+        self.relay.respond_with_changes()
         self._failures = 0
         if not self._reads_store:
             self._stop_reading()
@@ -247,12 +247,12 @@
 
     def _on_relay_failed(self, address: str, has_lost_store: bool) -> None:
         now = self._loop.now()
-        self.relay.drop_held()
+        self.relay.refuse_pending()
         if has_lost_store:
             # That router reads as well as any can: no reason to query the store from here too.
-            self._choice.note_reached(now, is_served=False)
-        if not has_lost_store or not self._is_all_known:
-            self._choice.note_failed(address, now)
+            self._planner.record_response(now, is_served=False)
+        if not has_lost_store or not self._has_all_datasets:
+            self._planner.record_failure(address, now)
         self._failures += 1
-        self._ask_from = now + min(LONGEST_PAUSE_S, PAUSE_STEP_S * (self._failures - 1))
+        self._query_from = now + min(LONGEST_PAUSE_S, PAUSE_STEP_S * (self._failures - 1))
         self._plan(now)
--- a/src/martenrun/router/store_watch.py
+++ b/src/martenrun/router/store_watch.py
@@ -7,20 +7,20 @@
 
 from martenrun.net.http import STATUS_OK, HttpAnswer
 from martenrun.net.loop import Loop
-from martenrun.router.dataset_copy import DatasetCopy
+from martenrun.router.dataset_replica import DatasetReplica
 from martenrun.router.dialect import Dialect
 from martenrun.router.log import log_event, log_trouble
 from martenrun.router.messages import StoredObject, UnreadableError
-from martenrun.router.store_client import HttpCaller
+from martenrun.router.store_client import HttpClient
 
-ANSWER_TIMEOUT_S = 0.9
+RESPONSE_TIMEOUT_S = 0.9
 """Timeout for the start of a response beyond the requested wait of a watch, in seconds."""
 
 FIRST_PAUSE_S = 0.08
 LONGEST_PAUSE_S = 0.6
 """Pauses between failed calls, in seconds; they double, with a jitter of half to all of each."""
 
-OVERDUE_S = 0.3
+OVERDUE_MARGIN_S = 0.3
 """Delay beyond the usual one after which the store counts as lost, in seconds."""
 
 DELAY_WEIGHT = 0.3
@@ -49,30 +49,30 @@
     """Keeps a replica of one dataset current from the store while running.
 
     Args:
-        on_taken: called after each response that was applied completely.
+        on_applied: called after each response that was applied completely.
     """
 
     def __init__(
         self,
         loop: Loop,
-        store: HttpCaller,
-        dialect: Dialect,
+        store: HttpClient,
+        adapter: Dialect,
         cfg: FollowSettings,
-        copy: DatasetCopy,
-        on_taken: Callable[[], None],
+        replica: DatasetReplica,
+        on_applied: Callable[[], None],
     ) -> None:
         self._loop = loop
         self._store = store
-        self._dialect = dialect
+        self._adapter = adapter
         self._cfg = cfg
-        self._copy = copy
-        self._on_taken = on_taken
+        self._replica = replica
+        self._on_applied = on_applied
         self._listed: list[StoredObject] = []
         self._list_revision: int | None = None
         self._pause_s = FIRST_PAUSE_S
         self._failures = 0
         self._returned_at: float | None = None
-        self._round = 0
+        self._generation = 0
         self._due_at: float | None = None
         self._delay_s = 0.0
         self.is_running = False
@@ -87,15 +87,15 @@
         """Return whether a response is later than the usual delay allows."""
         if not self.is_running or self._due_at is None:
             return False
-        return now > self._due_at + OVERDUE_S + 2 * self._delay_s
+        return now > self._due_at + OVERDUE_MARGIN_S + 2 * self._delay_s
 
     def start(self) -> None:
         """Start with a list, or with a watch if the replica already has state."""
         if self.is_running:
             return
         self.is_running = True
-        self._round += 1
-        if self._copy.is_known:
+        self._generation += 1
+        if self._replica.is_loaded:
             self._watch()
         else:
             self._list(None, self._loop.now())
@@ -104,10 +104,10 @@
         """Stop; responses to pending calls are ignored."""
         self.is_running = False
         self.is_current = False
-        self._round += 1
+        self._generation += 1
         self._failures = 0
 
-    def _when_wanted(
+    def _while_running(
         self, due_at: float, call: Callable[[HttpAnswer | None], None]
     ) -> tuple[Callable[[HttpAnswer | None], None], Callable[[], None]]:
         """Return wrappers for a response and for its parts, inactive after the follower stopped.
@@ -115,7 +115,7 @@
         From the first part on, the response is overdue only if its next part is.  ``due_at`` is the
         time at which a response without delay would start.
         """
-        asked_in = self._round
+        generation = self._generation
         self._due_at = due_at
         has_begun = False
 
@@ -126,18 +126,18 @@
                 delay_s = max(0.0, self._loop.now() - due_at)
                 self._delay_s += DELAY_WEIGHT * (delay_s - self._delay_s)
 
-        def heard() -> None:
-            if self.is_running and asked_in == self._round:
+        def handle_part() -> None:
+            if self.is_running and generation == self._generation:
                 begin()
                 self._due_at = self._loop.now()
 
-        def answered(answer: HttpAnswer | None) -> None:
-            if self.is_running and asked_in == self._round:
+        def handle_response(response: HttpAnswer | None) -> None:
+            if self.is_running and generation == self._generation:
                 begin()
                 self._due_at = None
-                call(answer)
+                call(response)
 
-        return answered, heard
+        return handle_response, handle_part
 
     def _list(self, after: str | None, began_at: float) -> None:
         if not self.is_running:
@@ -145,22 +145,22 @@
         if after is None:
             self._listed = []
             self._list_revision = None
-        call = self._dialect.list_objects(self._copy.dataset, after)
-        on_page, on_heard = self._when_wanted(
-            self._loop.now(), lambda answer: self._on_page(answer, began_at)
+        call = self._adapter.list_objects(self._replica.dataset, after)
+        on_page, on_part = self._while_running(
+            self._loop.now(), lambda response: self._on_page(response, began_at)
         )
-        self._store.call(call, ANSWER_TIMEOUT_S, on_page, on_heard)
+        self._store.call(call, RESPONSE_TIMEOUT_S, on_page, on_part)
 
-    def _on_page(self, answer: HttpAnswer | None, began_at: float) -> None:
-        if answer is None or answer.status != STATUS_OK:
-            self._fail(answer, lambda: self._list(None, self._loop.now()))
+    def _on_page(self, response: HttpAnswer | None, began_at: float) -> None:
+        if response is None or response.status != STATUS_OK:
+            self._fail(response, lambda: self._list(None, self._loop.now()))
             return
         try:
-            page = self._dialect.read_page(answer.body)
+            page = self._adapter.read_page(response.body)
         except UnreadableError as exc:
-            self._fail_unreadable(answer, exc)
+            self._fail_unreadable(response, exc)
             return
-        self._note_left_out(page.unreadable)
+        self._log_skipped(page.unreadable)
         self._listed += page.objects
         if self._list_revision is None:
             # Later pages may include changes that the watch repeats, which is harmless.
@@ -170,81 +170,85 @@
             return
         self._succeed()
         now = self._loop.now()
-        self._copy.replace(self._listed, self._list_revision, self._is_after_outage(), now)
+        self._replica.replace(self._listed, self._list_revision, self._is_after_outage(), now)
         self._listed = []
-        self._taken(began_at)
+        self._finish_response(began_at)
 
     def _watch(self) -> None:
-        if not self.is_running or self._copy.revision is None:
+        if not self.is_running or self._replica.revision is None:
             return
         sent_at = self._loop.now()
         # After a failure the store is asked to respond at once, to detect its return quickly.
         wait_s = 0.0 if self._failures or not self.is_current else self._cfg.wait_s
-        call = self._dialect.watch_objects(self._copy.dataset, self._copy.revision, wait_s)
-        on_changes, on_heard = self._when_wanted(
-            sent_at + wait_s, lambda answer: self._on_changes(answer, sent_at)
+        call = self._adapter.watch_objects(self._replica.dataset, self._replica.revision, wait_s)
+        on_changes, on_part = self._while_running(
+            sent_at + wait_s, lambda response: self._on_changes(response, sent_at)
         )
-        self._store.call(call, wait_s + ANSWER_TIMEOUT_S, on_changes, on_heard)
+        self._store.call(call, wait_s + RESPONSE_TIMEOUT_S, on_changes, on_part)
 
-    def _on_changes(self, answer: HttpAnswer | None, sent_at: float) -> None:
-        if answer is not None and answer.status == HTTP_GONE:
-            log_event("history_gone", dataset=self._copy.dataset.value)
+    def _on_changes(self, response: HttpAnswer | None, sent_at: float) -> None:
+        if response is not None and response.status == HTTP_GONE:
+            log_event("history_gone", dataset=self._replica.dataset.value)
             self._list(None, self._loop.now())
             return
-        if answer is None or answer.status != STATUS_OK:
-            self._fail(answer, self._watch)
+        if response is None or response.status != STATUS_OK:
+            self._fail(response, self._watch)
             return
         try:
-            changes = self._dialect.read_changes(answer.body)
+            changes = self._adapter.read_changes(response.body)
         except UnreadableError as exc:
-            self._fail_unreadable(answer, exc)
+            self._fail_unreadable(response, exc)
             return
         self._succeed()
-        self._note_left_out(changes.unreadable)
+        self._log_skipped(changes.unreadable)
         is_after_outage = self._is_after_outage()
         for event in changes.events:
             changed = [] if event.is_gone else [event.stored]
-            gone = [event.stored.name] if event.is_gone else []
-            self._copy.apply(changed, gone, changes.revision, is_after_outage, self._loop.now())
-        self._copy.revision = max(self._copy.revision or 0, changes.revision)
-        self._taken(sent_at, self._cfg.rest_s if changes.events else 0.0)
-
-    def _taken(self, asked_at: float, rest_s: float = 0.0) -> None:
+            deleted = [event.stored.name] if event.is_gone else []
+            self._replica.apply(
+                changed, deleted, changes.revision, is_after_outage, self._loop.now()
+            )
+        self._replica.revision = max(self._replica.revision or 0, changes.revision)
+        self._finish_response(sent_at, self._cfg.rest_s if changes.events else 0.0)
+
+    def _finish_response(self, sent_at: float, rest_s: float = 0.0) -> None:
         self.is_current = True
-        self._copy.confirm(asked_at)
-        self._on_taken()
+        self._replica.confirm(sent_at)
+        self._on_applied()
         if rest_s:
-            self._again_in(rest_s, self._watch)
+            self._call_after(rest_s, self._watch)
         else:
             self._watch()
 
-    def _fail(self, answer: HttpAnswer | None, again: Callable[[], None]) -> None:
+    def _fail(self, response: HttpAnswer | None, retry: Callable[[], None]) -> None:
         self._failures += 1
         self.is_current = self._failures <= 1
         if self._failures == 1:
-            status = None if answer is None else answer.status
-            log_trouble("store_lost", dataset=self._copy.dataset.value, status=status)
+            status = None if response is None else response.status
+            log_trouble("store_lost", dataset=self._replica.dataset.value, status=status)
         pause_s = self._pause_s * random.uniform(0.5, 1.0)
         self._pause_s = min(LONGEST_PAUSE_S, self._pause_s * 2)
-        self._again_in(pause_s, again)
+        self._call_after(pause_s, retry)
 
-    def _fail_unreadable(self, answer: HttpAnswer, exc: UnreadableError) -> None:
+    def _fail_unreadable(self, response: HttpAnswer, exc: UnreadableError) -> None:
         """Restart from a complete list, since the changes in the response are unknown."""
-        log_trouble("answer_unreadable", dataset=self._copy.dataset.value, fault=str(exc)[:100])
-        self._fail(answer, lambda: self._list(None, self._loop.now()))
+        log_trouble("answer_unreadable", dataset=self._replica.dataset.value, fault=str(exc)[:100])
+        self._fail(response, lambda: self._list(None, self._loop.now()))
 
-    def _note_left_out(self, count: int) -> None:
+    def _log_skipped(self, count: int) -> None:
         if count:
-            log_trouble("objects_left_out", dataset=self._copy.dataset.value, count=count)
+            log_trouble("objects_left_out", dataset=self._replica.dataset.value, count=count)
 
-    def _again_in(self, pause_s: float, again: Callable[[], None]) -> None:
+    def _call_after(self, pause_s: float, retry: Callable[[], None]) -> None:
         """Make the next call after a pause, unless the follower is stopped before."""
-        asked_in = self._round
-        self._loop.call_later(pause_s, lambda: again() if asked_in == self._round else None)
+        generation = self._generation
+        self._loop.call_later(pause_s, lambda: retry() if generation == self._generation else None)
 
     def _succeed(self) -> None:
         if self._failures:
-            log_trouble("store_regained", dataset=self._copy.dataset.value, failures=self._failures)
+            log_trouble(
+                "store_regained", dataset=self._replica.dataset.value, failures=self._failures
+            )
             self._failures = 0
             self._returned_at = self._loop.now()
         self._pause_s = FIRST_PAUSE_S
--- a/src/martenrun/router/weights_news.py
+++ b/src/martenrun/router/weights_news.py
@@ -1,7 +1,7 @@
 """News of the weights that runners load or have, told to all routers at once."""
 
 from martenrun.net.loop import Loop
-from martenrun.router.peer_messages import WeightsNews
+from martenrun.router.peer_messages import WeightsUpdate
 from martenrun.router.peers import Peers
 from martenrun.router.runner_state import LOADING_MEMORY_S, RunnerState
 from martenrun.router.world import World
@@ -31,10 +31,10 @@
     def _tell_together(self) -> None:
         together, self._to_tell = self._to_tell, {}
         for (model, version, is_loaded), instances in together.items():
-            self._peers.tell_all(WeightsNews(instances, model, version, is_loaded))
+            self._peers.broadcast(WeightsUpdate(instances, model, version, is_loaded))
 
 
-def take_weights_news(world: World, news: WeightsNews) -> None:
+def take_weights_news(world: World, news: WeightsUpdate) -> None:
     """Take in that runners load weights or have them now."""
     for instance in news.instances:
         state = world.pool.state(instance)
@@ -42,7 +42,7 @@
             _take_of_runner(state, news, world.loop.now())
 
 
-def _take_of_runner(state: RunnerState, news: WeightsNews, now: float) -> None:
+def _take_of_runner(state: RunnerState, news: WeightsUpdate, now: float) -> None:
     if news.is_loaded:
         state.learn_weights(news.model, news.version)
         state.loading_until = 0.0
--- a/src/martenrun/router/weights_roll.py
+++ b/src/martenrun/router/weights_roll.py
@@ -9,7 +9,6 @@
 import attrs
 
 from martenrun.net.http import HttpAnswer
-from martenrun.router.knowledge import decoded
 from martenrun.router.lease import Lease
 from martenrun.router.log import log_event, log_trouble
 from martenrun.router.messages import (
@@ -19,12 +18,13 @@
     RunnerReport,
     WeightsOrder,
 )
-from martenrun.router.peer_messages import LeaseNews, WeightsNews
+from martenrun.router.peer_messages import LeaseUpdate, WeightsUpdate
 from martenrun.router.peers import Peers
-from martenrun.router.readers import strong_first
 from martenrun.router.roll_plan import RollQuestion, lacking, runners_to_order
 from martenrun.router.runner_state import RunnerState
-from martenrun.router.store_client import HttpCaller
+from martenrun.router.store_client import HttpClient
+from martenrun.router.store_readers import order_by_strength
+from martenrun.router.store_state import decode_or_log
 from martenrun.router.weights_news import WeightsTeller, take_weights_news
 from martenrun.router.world import World
 
@@ -80,7 +80,7 @@
         self._unanswered_orders: set[str] = set()
         self._not_before: dict[str, float] = {}
         self._needed_since: float | None = None
-        self._callers: dict[str, HttpCaller] = {}
+        self._callers: dict[str, HttpClient] = {}
         self._is_ticking = False
         self._teller = WeightsTeller(world.loop, peers)
         self._ends_at = math.inf
@@ -101,7 +101,7 @@
         self._ends_at = ends_at
         self.check()
 
-    def take_release(self, news: LeaseNews) -> None:
+    def take_release(self, news: LeaseUpdate) -> None:
         """Take in that another router has given the lease up."""
         record = LeaseRecord(
             news.holder, news.fencing_token, released_idle_s=news.idle_ms / MS_PER_S
@@ -124,7 +124,7 @@
             self._needed_since = now
         self._pursue_lease(now)
         for model in models:
-            self._check_loads(model, self._world.weights.wanted[model].version, now)
+            self._check_loads(model, self._world.weights.targets[model].version, now)
             if self._lease.is_held():
                 self._order_model(model, now)
             else:
@@ -149,11 +149,11 @@
 
     def _tell_release(self, record: LeaseRecord, revision: int) -> None:
         idle_ms = round((record.released_idle_s or 0.0) * MS_PER_S)
-        self._peers.tell_all(LeaseNews(record.holder, record.fencing_token, revision, idle_ms))
+        self._peers.broadcast(LeaseUpdate(record.holder, record.fencing_token, revision, idle_ms))
 
     def _models_lacking(self) -> list[str]:
         states = self._world.pool.all_states()
-        wanted = self._world.weights.wanted
+        wanted = self._world.weights.targets
         return [name for name, item in wanted.items() if lacking(states, name, item.version)]
 
     def _rank(self) -> int:
@@ -163,7 +163,7 @@
         candidates += [
             record for record in self._peers.live() if record.is_current and not record.is_leaving
         ]
-        living = strong_first(b"weights", {item.address: item.capacity for item in candidates})
+        living = order_by_strength(b"weights", {item.address: item.capacity for item in candidates})
         last = self._lease.last_router()
         if last is not None and last in living:
             living.remove(last)
@@ -171,7 +171,7 @@
         return living.index(own.address)
 
     def _order_model(self, model: str, now: float) -> None:
-        version = self._world.weights.wanted[model].version
+        version = self._world.weights.targets[model].version
         question = RollQuestion(
             model=model,
             version=version,
@@ -180,7 +180,7 @@
             now=now,
             figures=self._world.decisions.roll,
             turn_s=self._turn_s,
-            namings=self._world.weights.namings(model),
+            namings=self._world.weights.known_versions(model),
             bound_s=self._world.old_weights_bound_s,
             ends_at=self._ends_at,
         )
@@ -201,7 +201,7 @@
         """
         earliest = dict(self._not_before)
         for state in lacking(
-            self._world.pool.all_states(), model, self._world.weights.wanted[model].version
+            self._world.pool.all_states(), model, self._world.weights.targets[model].version
         ):
             instance = state.runner.instance
             from_turn = self._lease.turns.orders_from(instance) - self._runs_end_s
@@ -254,7 +254,7 @@
     def _tell(self, state: RunnerState, model: str, version: int, is_loaded: bool) -> None:
         """Take in what a runner does now, and tell it to all routers in a moment."""
         instance = state.runner.instance
-        take_weights_news(self._world, WeightsNews([instance], model, version, is_loaded))
+        take_weights_news(self._world, WeightsUpdate([instance], model, version, is_loaded))
         self._teller.tell(instance, model, version, is_loaded)
 
     def _ask_report(self, state: RunnerState, model: str) -> None:
@@ -268,13 +268,13 @@
     def _on_report(self, answer: HttpAnswer | None, state: RunnerState, model: str) -> None:
         instance = state.runner.instance
         load = self._loads.get(instance)
-        wanted = self._world.weights.wanted[model].version
+        wanted = self._world.weights.targets[model].version
         if load is None:
             return
         if answer is None or answer.status != STATUS_OK:
             self._drop(state, "no_report")
             return
-        report = decoded(answer.body, self._world.dialect.read_report)
+        report = decode_or_log(answer.body, self._world.dialect.read_report)
         if report is None:
             self._drop(state, "report_unreadable")
             return
@@ -373,5 +373,5 @@
         address = state.runner.address
         caller = self._callers.get(address)
         if caller is None:
-            caller = self._callers[address] = HttpCaller(self._world.loop, address)
+            caller = self._callers[address] = HttpClient(self._world.loop, address)
         caller.call(call, timeout_s, on_answer)
--- a/src/martenrun/router/world.py
+++ b/src/martenrun/router/world.py
@@ -8,7 +8,6 @@
 from martenrun.net.loop import Loop
 from martenrun.router.decisions import Decisions
 from martenrun.router.dialect import Dialect
-from martenrun.router.knowledge import ConfigurationKnowledge, RunnerDirectory, WeightsKnowledge
 from martenrun.router.messages import KeptCacheStore, Route
 from martenrun.router.overload import OverloadGuard
 from martenrun.router.placement import Placement
@@ -18,6 +17,7 @@
 from martenrun.router.runner_pool import RunnerPool
 from martenrun.router.runner_state import RunnerState
 from martenrun.router.settings import RouterSettings
+from martenrun.router.store_state import ConfigurationState, RunnerDirectory, WeightsState
 from martenrun.router.suspects import Suspects
 
 OLD_WEIGHTS_MARGIN_S = 0.9
@@ -50,9 +50,9 @@
     loop: Loop
     settings: RouterSettings
     dialect: Dialect
-    configuration: ConfigurationKnowledge
+    configuration: ConfigurationState
     runners: RunnerDirectory
-    weights: WeightsKnowledge
+    weights: WeightsState
     pool: RunnerPool
     placement: Placement
     suspects: Suspects
--- a/src/martenrun/router/zone_loads.py
+++ b/src/martenrun/router/zone_loads.py
@@ -10,7 +10,7 @@
 from collections.abc import Iterable, Mapping
 
 from martenrun.router.peer_messages import RouterRecord, RunnerLoad
-from martenrun.router.readers import strong_first
+from martenrun.router.store_readers import order_by_strength
 
 TELL_S = 0.05
 """How often a zone's teller tells what has changed, in seconds.
@@ -41,7 +41,7 @@
         if not record.is_leaving:
             by_zone.setdefault(record.zone, []).append(record)
     return {
-        zone: strong_first(b"teller", {item.address: item.capacity for item in members})[0]
+        zone: order_by_strength(b"teller", {item.address: item.capacity for item in members})[0]
         for zone, members in by_zone.items()
     }
 
@@ -59,8 +59,8 @@
     """Return two loads together."""
     return RunnerLoad(
         one.requests + other.requests,
-        one.tokens_to_read + other.tokens_to_read,
-        one.tokens_held + other.tokens_held,
+        one.prefill_tokens + other.prefill_tokens,
+        one.kv_cache_tokens + other.kv_cache_tokens,
     )
 
 
@@ -76,7 +76,7 @@
         for instance in sums.keys() | self._told.keys():
             load = sums.get(instance, NOTHING)
             told, told_at = self._told.get(instance, (NOTHING, 0.0))
-            change = abs(load.tokens_to_read - told.tokens_to_read)
+            change = abs(load.prefill_tokens - told.prefill_tokens)
             if change >= LEAST_CHANGE_TOKENS or now - told_at >= TOLD_AGAIN_S:
                 news[instance] = load
                 self._note(instance, load, told, now)
--- a/tests/router/blame_fleet.py
+++ b/tests/router/blame_fleet.py
@@ -13,13 +13,13 @@
 
 from martenrun.platform import DIALECT
 from martenrun.router.blame_store import BlameStore
-from martenrun.router.dataset_copy import CopyListener
+from martenrun.router.dataset_replica import ReplicaListener
 from martenrun.router.fingerprint import fingerprint
 from martenrun.router.log import EVENT_LOG
 from martenrun.router.messages import Dataset
 
 from .blame_world import admitted, request, suspects
-from .fleet_world import CountingStore, Fleet, KeptRouter
+from .fleet_world import CountingStore, Fleet, SimulatedRouter
 
 RUN = fingerprint(request(b"deadly"), admitted())
 KIND = "router-blame"
@@ -67,7 +67,7 @@
         return self.kept if kind == KIND else super()._changed_item(kind)
 
 
-class BlamingRouter(KeptRouter):
+class BlamingRouter(SimulatedRouter):
     """A router that follows, tells and stores blame."""
 
     def __init__(self, fleet, address, seeds):
@@ -75,22 +75,24 @@
         self.born_at = fleet.loop.now()
         self.is_off = False
         peers = fleet.world.routers[address]
-        self.suspects = suspects(fleet.loop, tell=peers.tell_all)
-        peers._on_news = self.suspects.take
-        peers._newcomer_news = lambda routers: filter(None, [self.suspects.newcomer_news(routers)])
-        copy = self.copies[Dataset.BLAME]
-        copy._listener = CopyListener(
+        self.suspects = suspects(fleet.loop, tell=peers.broadcast)
+        peers._on_update = self.suspects.take
+        peers._updates_for_new_router = lambda routers: filter(
+            None, [self.suspects.newcomer_news(routers)]
+        )
+        copy = self.replicas[Dataset.BLAME]
+        copy._listener = ReplicaListener(
             lambda stored: self.suspects.take_stored(DIALECT.read_blame(stored)),
             lambda _name: None,
             lambda: None,
         )
         self.writer = BlameStore(
             fleet.loop,
-            fleet.store_caller(address),
+            fleet.store_client(address),
             DIALECT,
             copy,
             self.suspects,
-            lambda: self.keeper.reads_store,
+            lambda: self.sync.reads_store,
         )
         self._loop = fleet.loop
         self._keep_house()
--- a/tests/router/fakes.py
+++ b/tests/router/fakes.py
@@ -35,8 +35,8 @@
 
     def run_until(self, until):
         while self._queue and self._queue[0][0] <= until:
-            due, _, timer = heapq.heappop(self._queue)
-            self.time = max(self.time, due)
+            due_at, _, timer = heapq.heappop(self._queue)
+            self.time = max(self.time, due_at)
             if not timer.is_cancelled:
                 timer.call()
         self.time = until
@@ -53,15 +53,15 @@
         self.loses_answers = False
         self.writes = []
 
-    def call(self, call, timeout_s, on_answer):
+    def call(self, call, timeout_s, on_response):
         if self.is_silent:
-            self.loop.call_later(timeout_s, lambda: on_answer(None))
+            self.loop.call_later(timeout_s, lambda: on_response(None))
             return
-        answer = self._serve(call)
+        response = self._serve(call)
         if self.loses_answers:
-            self.loop.call_later(timeout_s, lambda: on_answer(None))
+            self.loop.call_later(timeout_s, lambda: on_response(None))
         else:
-            self.loop.call_later(0.004, lambda: on_answer(answer))
+            self.loop.call_later(0.004, lambda: on_response(response))
 
     def _serve(self, call):
         path = call.target.decode().partition("?")[0]
@@ -97,8 +97,8 @@
     def __init__(self, own):
         self.own = own
         self.records = []
-        self.readings = []
-        self.sums = []
+        self.load_updates = []
+        self.zone_loads = []
         self.time = 0.0
         self.is_large = False
 
@@ -108,11 +108,11 @@
     def now(self):
         return self.time
 
-    def tells_own_zone_only(self):
+    def sends_loads_to_own_zone_only(self):
         return self.is_large
 
-    def tell_sums(self, addresses, sums):
-        self.sums.append((addresses, sums))
+    def send_zone_loads(self, addresses, loads):
+        self.zone_loads.append((addresses, loads))
 
-    def tell_reading(self, instance, load):
-        self.readings.append((instance, load))
+    def broadcast_load(self, instance, load):
+        self.load_updates.append((instance, load))
--- a/tests/router/fleet_world.py
+++ b/tests/router/fleet_world.py
@@ -7,9 +7,9 @@
 
 from martenrun.net.http import HttpAnswer
 from martenrun.platform import DIALECT
-from martenrun.router.dataset_copy import CopyListener, DatasetCopy
-from martenrun.router.keeper import Keeper, KeeperParts
+from martenrun.router.dataset_replica import DatasetReplica, ReplicaListener
 from martenrun.router.messages import Dataset
+from martenrun.router.store_sync import StoreSync, StoreSyncParts
 
 from .gossip_world import GossipWorld
 
@@ -31,9 +31,9 @@
         self._changed_at = {"servers": RUNNERS}
         self._watches = []
 
-    def caller(self, address):
+    def client(self, address):
         """Return the store client of one router."""
-        return StoreCaller(self, address)
+        return StoreClient(self, address)
 
     def change(self, kind="servers"):
         """Change one object of a kind, which completes the watches of that kind."""
@@ -44,30 +44,30 @@
         for answer in due:
             answer()
 
-    def serve(self, call, on_answer):
+    def serve(self, call, on_response):
         """Respond to one call."""
         url = urlsplit(call.target.decode())
         kind = url.path.rsplit("/", 1)[-1]
         query = parse_qs(url.query)
         if self.is_down:
-            self._answer(on_answer, 503, {})
+            self._answer(on_response, 503, {})
         elif "watch" not in query:
             names = [f"i-{n}" for n in range(RUNNERS)] if kind == "servers" else ["main"]
             items = [self._item(name) for name in names]
-            self._answer(on_answer, 200, {"items": items, "more": False, "at": self.revision})
+            self._answer(on_response, 200, {"items": items, "more": False, "at": self.revision})
         else:
-            self._watch(kind, int(query["watch"][0]), int(query["wait_ms"][0]) / 1000, on_answer)
+            self._watch(kind, int(query["watch"][0]), int(query["wait_ms"][0]) / 1000, on_response)
 
-    def _watch(self, kind, after, wait_s, on_answer):
-        is_answered = []
+    def _watch(self, kind, after, wait_s, on_response):
+        has_responded = []
 
         def answer():
-            if is_answered:
+            if has_responded:
                 return
-            is_answered.append(True)
-            has_news = self._changed_at.get(kind, 0) > after
-            events = [{"object": self._changed_item(kind), "gone": False}] if has_news else []
-            self._answer(on_answer, 200, {"events": events, "at": self.revision})
+            has_responded.append(True)
+            has_changed = self._changed_at.get(kind, 0) > after
+            events = [{"object": self._changed_item(kind), "gone": False}] if has_changed else []
+            self._answer(on_response, 200, {"events": events, "at": self.revision})
 
         if self._changed_at.get(kind, 0) > after:
             answer()
@@ -82,33 +82,33 @@
         spec = self.configuration if name == "main" else {}
         return {"metadata": {"name": name, "revision": self.revision}, "spec": spec}
 
-    def _answer(self, on_answer, status, body):
+    def _answer(self, on_response, status, body):
         answer = HttpAnswer(status, [], msgspec.json.encode(body))
-        self.loop.call_later(STORE_DELAY_S, lambda: on_answer(answer))
+        self.loop.call_later(STORE_DELAY_S, lambda: on_response(answer))
 
 
-class StoreCaller:
+class StoreClient:
     """One router's store client."""
 
     def __init__(self, store, address):
         self._store = store
         self._address = address
 
-    def call(self, call, timeout_s, on_answer, *_more):
+    def call(self, call, timeout_s, on_response, *_more):
         self._store.calls.append((self._store.loop.now(), self._address, call.target))
-        once = answered_once(on_answer)
+        once = first_response_only(on_response)
         self._store.loop.call_later(timeout_s, lambda: once(None))
         self._store.serve(call, once)
 
 
-def answered_once(on_answer):
+def first_response_only(on_response):
     """Return a callback that passes on the first response only."""
     answers = []
 
     def answer(given):
         if not answers:
             answers.append(given)
-            on_answer(given)
+            on_response(given)
 
     return answer
 
@@ -116,12 +116,12 @@
 class FakeExchange:
     """One query of another router, answered over a link."""
 
-    def __init__(self, fleet, call, on_answer):
-        self.request = Question(call.target, call.body)
+    def __init__(self, fleet, call, on_response):
+        self.request = FakeRequest(call.target, call.body)
         self.is_over = False
         self.on_gone = None
         self._fleet = fleet
-        self._on_answer = on_answer
+        self._on_answer = on_response
 
     def respond(self, status, headers, body=b""):
         self.is_over = True
@@ -129,70 +129,70 @@
         self._fleet.loop.call_later(LINK_DELAY_S, lambda: self._on_answer(answer))
 
 
-class Question:
+class FakeRequest:
     def __init__(self, target, body):
         self.target = target
         self.body = body
 
 
-class PeerCaller:
+class PeerClient:
     """Client for queries to one router."""
 
     def __init__(self, fleet, address):
         self._fleet = fleet
         self._address = address
 
-    def call(self, call, timeout_s, on_answer, *_more):
+    def call(self, call, timeout_s, on_response, *_more):
         loop = self._fleet.loop
-        self._fleet.questions += 1
-        once = answered_once(on_answer)
+        self._fleet.queries += 1
+        once = first_response_only(on_response)
         loop.call_later(timeout_s, lambda: once(None))
         loop.call_later(LINK_DELAY_S, lambda: self._arrive(call, once))
 
-    def _arrive(self, call, on_answer):
+    def _arrive(self, call, on_response):
         router = self._fleet.members.get(self._address)
         if router is None:
             # The machine is up and resets connections to a process that is not running.
-            self._fleet.loop.call_later(LINK_DELAY_S, lambda: on_answer(None))
+            self._fleet.loop.call_later(LINK_DELAY_S, lambda: on_response(None))
         else:
-            router.keeper.relay.serve(FakeExchange(self._fleet, call, on_answer))
+            router.sync.relay.serve(FakeExchange(self._fleet, call, on_response))
 
 
-class KeptRouter:
+class SimulatedRouter:
     """One router's replicas and the component that keeps them current."""
 
     def __init__(self, fleet, address, seeds):
-        listener = CopyListener(lambda _: None, lambda _: None, lambda: None)
-        self.copies = {dataset: DatasetCopy(dataset, listener) for dataset in DATASETS}
+        listener = ReplicaListener(lambda _: None, lambda _: None, lambda: None)
+        self.replicas = {dataset: DatasetReplica(dataset, listener) for dataset in DATASETS}
         peers = fleet.world.routers[address]
         peers._refresh = self._refresh
-        self.keeper = Keeper(
-            KeeperParts(
+        self.sync = StoreSync(
+            StoreSyncParts(
                 fleet.loop,
-                fleet.store_caller(address),
+                fleet.store_client(address),
                 DIALECT,
-                self.copies,
+                self.replicas,
                 peers,
                 seeds,
-                lambda _loop, other: fleet.peer_caller(address, other),
+                lambda _loop, other: fleet.peer_client(address, other),
                 random.Random(fleet.world.rng.random()),
             ),
             lambda: None,
         )
-        self.keeper.start()
+        self.sync.start()
 
     @property
     def configuration(self):
         """This router's replica of the configuration."""
-        return self.copies[Dataset.CONFIGURATION]
+        return self.replicas[Dataset.CONFIGURATION]
 
     def _refresh(self, own):
-        own.reads_store = self.keeper.reads_store
-        own.has_lost_store = self.keeper.has_lost_store
+        own.reads_store = self.sync.reads_store
+        own.has_lost_store = self.sync.has_lost_store
 
     def age_s(self, now):
         """Return the age of this router's configuration; infinite while it has none."""
-        confirmed_at = self.copies[Dataset.CONFIGURATION].confirmed_at
+        confirmed_at = self.replicas[Dataset.CONFIGURATION].confirmed_at
         return float("inf") if confirmed_at is None else now - confirmed_at
 
 
@@ -204,23 +204,23 @@
         self.loop = self.world.loop
         self.store = CountingStore(self.loop)
         self.members = {}
-        self.questions = 0
+        self.queries = 0
         self.zones = {f"10.{n % zones}.0.{n // zones}:7": f"z{n % zones}" for n in range(count)}
         self.addresses = list(self.zones)
 
-    def store_caller(self, address):
+    def store_client(self, address):
         """Return the store client of a router."""
-        return self.store.caller(address)
+        return self.store.client(address)
 
-    def peer_caller(self, _asker, address):
+    def peer_client(self, _requester, address):
         """Return a router's client for queries to another one."""
-        return PeerCaller(self, address)
+        return PeerClient(self, address)
 
     def start(self, address):
         """Start a router, replacing an earlier incarnation at its address."""
         seeds = tuple(self.addresses[:3])
         self.world.start(address, seeds, self.zones[address])
-        self.members[address] = KeptRouter(self, address, seeds)
+        self.members[address] = SimulatedRouter(self, address, seeds)
 
     def start_all(self, addresses=None, within_s=0.3):
         """Start routers at random times within a period."""
@@ -232,16 +232,16 @@
         """Kill a router's process."""
         self.world.stop(address)
         router = self.members.pop(address)
-        for follower in router.keeper._followers:
+        for follower in router.sync._followers:
             follower.stop()
-        router.keeper._relay_follower.stop()
-        router.keeper._plan = lambda _now: None
-        router.keeper._lose_store = lambda _now: None
+        router.sync._relay_follower.stop()
+        router.sync._plan = lambda _now: None
+        router.sync._mark_store_lost = lambda _now: None
 
     def readers(self):
         """Return the addresses of the store readers."""
-        return [a for a, router in self.members.items() if router.keeper.reads_store]
+        return [a for a, router in self.members.items() if router.sync.reads_store]
 
-    def oldest_s(self):
+    def max_age_s(self):
         """Return the age of the oldest configuration in the fleet."""
         return max(router.age_s(self.loop.now()) for router in self.members.values())
