--- a/tests/router/gossip_world.py
+++ b/tests/router/gossip_world.py
@@ -8,7 +8,7 @@
 from .fakes import FakeLoop
 
 
-def router_record(address, incarnation=1, beat=0, **changes):
+def router_record(address, incarnation=1, heartbeat=0, **changes):
     """Return a record of a router that is not leaving and can reach the store."""
     fields = {
         "front": "f" + address,
@@ -22,7 +22,7 @@
         "weights": {},
     }
     return RouterRecord(
-        address=address, incarnation=incarnation, beat=beat, **{**fields, **changes}
+        address=address, incarnation=incarnation, heartbeat=heartbeat, **{**fields, **changes}
     )
 
 
@@ -40,15 +40,15 @@
         return self._loop.call_later(delay_s, call)
 
 
-class PlayedPeers(Peers):
+class SimulatedPeers(Peers):
     """The peers of one router, on the simulated network."""
 
     def __init__(self, world, own, seeds):
         self.world = world
-        self.is_off = False
-        self.is_still = False
+        self.is_stopped = False
+        self.is_suspended = False
         self.waiting = []
-        self.misses_tick = False
+        self.has_missed_tick = False
         super().__init__(
             PeerLoop(world.loop),
             own,
@@ -67,19 +67,19 @@
         self.world.send(address, data)
 
     def _tick(self):
-        if self.is_still:
-            self.misses_tick = True
-        elif not self.is_off:
+        if self.is_suspended:
+            self.has_missed_tick = True
+        elif not self.is_stopped:
             super()._tick()
 
-    def take_datagram(self, data):
+    def receive_datagram(self, data):
         """Handle a datagram, or keep it in the socket while this router is suspended."""
-        if self.is_still:
+        if self.is_suspended:
             self.waiting.append(data)
-        elif not self.is_off:
-            self._take(decode(data), self._loop.now() - self._loop.late_s)
+        elif not self.is_stopped:
+            self._handle_message(decode(data), self._loop.now() - self._loop.late_s)
 
-    def named(self):
+    def live_addresses(self):
         """Return the addresses of the routers that this one considers alive."""
         return [record.address for record in self.live()]
 
@@ -95,44 +95,44 @@
     def __init__(self, seed, delays_s=(0.002,), copies=(1,)):
         self.rng = random.Random(seed)
         self.loop = FakeLoop()
-        self.began = self.loop.time
+        self.started_at = self.loop.time
         self.routers = {}
-        self.lives = 0
+        self.incarnations = 0
         self._delays_s = delays_s
         self._copies = copies
 
     def now(self):
         """Return the seconds since the start of the simulation."""
-        return self.loop.time - self.began
+        return self.loop.time - self.started_at
 
     def start(self, address, seeds=(), zone="z", **changes):
         """Start a router, replacing an earlier one at the address; ``changes`` of its record."""
         if address in self.routers:
             self.stop(address)
-        self.lives += 1
-        own = router_record(address, incarnation=self.lives, zone=zone, **changes)
-        self.routers[address] = PlayedPeers(self, own, tuple(seeds))
+        self.incarnations += 1
+        own = router_record(address, incarnation=self.incarnations, zone=zone, **changes)
+        self.routers[address] = SimulatedPeers(self, own, tuple(seeds))
         self.routers[address].start()
 
     def stop(self, address):
         """Kill a router, without any message to the others."""
-        self.routers[address].is_off = True
+        self.routers[address].is_stopped = True
 
-    def stand_still(self, address):
+    def suspend(self, address):
         """Suspend a router's process; datagrams sent to it wait."""
-        self.routers[address].is_still = True
+        self.routers[address].is_suspended = True
 
-    def go_on(self, address, late_s):
+    def resume(self, address, late_s):
         """Resume a router's process: it handles the waiting datagrams, then the overdue timer."""
         peers = self.routers[address]
-        peers.is_still = False
+        peers.is_suspended = False
         peers._loop.late_s = late_s
         waiting, peers.waiting = peers.waiting, []
         for data in waiting:
-            peers.take_datagram(data)
+            peers.receive_datagram(data)
         peers._loop.late_s = 0.0
-        if peers.misses_tick:
-            peers.misses_tick = False
+        if peers.has_missed_tick:
+            peers.has_missed_tick = False
             peers._tick()
 
     def send(self, address, data):
@@ -145,11 +145,11 @@
         """Advance the virtual time."""
         self.loop.run_until(self.loop.time + seconds)
 
-    def alive(self):
+    def running(self):
         """Return the running routers."""
-        return [peers for peers in self.routers.values() if not peers.is_off]
+        return [peers for peers in self.routers.values() if not peers.is_stopped]
 
     def _arrive(self, address, data):
         peers = self.routers.get(address)
         if peers is not None:
-            peers.take_datagram(data)
+            peers.receive_datagram(data)
--- a/tests/router/limit_world.py
+++ b/tests/router/limit_world.py
@@ -31,9 +31,9 @@
         self.loop = peers._loop
         self.quotas = fleet.gates[address]
         self.state = state(INSTANCE)
-        self.runner_limits = RunnerLimits(peers.tell_all, self._on_changed, rng=fleet.rng)
-        peers._on_news = lambda news: self.runner_limits.take(news, self.loop.now())
-        peers._newcomer_news = self._newcomer_news
+        self.runner_limits = RunnerLimits(peers.broadcast, self._on_changed, rng=fleet.rng)
+        peers._on_update = lambda news: self.runner_limits.take(news, self.loop.now())
+        peers._updates_for_new_router = self._newcomer_news
         self._keep_house()
 
     @property
@@ -49,7 +49,7 @@
 
     def _keep_house(self):
         if not self.is_stopped or self.address not in self.fleet.limited:
-            if not self.fleet.world.routers[self.address].is_still:
+            if not self.fleet.world.routers[self.address].is_suspended:
                 self.runner_limits.tell_again(self.loop.now())
             self.loop.call_later(0.25, self._keep_house)
 
@@ -79,7 +79,7 @@
         )
 
     def _on_head(self, sent_at, advertised):
-        if self.is_stopped or self.fleet.world.routers[self.address].is_still:
+        if self.is_stopped or self.fleet.world.routers[self.address].is_suspended:
             return
         now = self.loop.now()
         if advertised is None:
@@ -129,7 +129,7 @@
     def _route_request(self):
         address = self.rng.choice(self.addresses)
         router = self.limited.get(address)
-        if router is not None and not self.world.routers[address].is_still:
+        if router is not None and not self.world.routers[address].is_suspended:
             router.handle_request()
 
     def arrivals_between(self, since, until=float("inf")):
--- a/tests/router/link_world.py
+++ b/tests/router/link_world.py
@@ -1,6 +1,6 @@
 """A fleet of routers whose links have limited bandwidth, in virtual time.
 
-Calls use the router's own :class:`CallReader`, so its real timeouts apply.  A sender shares its
+Calls use the router's own :class:`ResponseReader`, so its real timeouts apply.  A sender shares its
 link among the transfers in turns, like the router's pacing; a receiver's link is a queue.
 """
 
@@ -10,9 +10,9 @@
 import msgspec
 
 from martenrun.net.http import HttpAnswer
-from martenrun.router.store_client import CallReader
+from martenrun.router.store_client import ResponseReader
 
-from .fleet_world import LINK_DELAY_S, Fleet, Question
+from .fleet_world import LINK_DELAY_S, FakeRequest, Fleet
 
 STRONG_BYTES_PER_S = 25e6
 WEAK_BYTES_PER_S = 1.25e6
@@ -135,7 +135,7 @@
     """One query of another router, answered over both routers' links."""
 
     def __init__(self, call, reply):
-        self.request = Question(call.target, call.body)
+        self.request = FakeRequest(call.target, call.body)
         self.is_over = False
         self.on_gone = None
         self._reply = reply
@@ -145,23 +145,23 @@
         self._reply(HttpAnswer(status, headers, body))
 
 
-class LinkedCaller:
+class LinkedClient:
     """Client of another router, or of the store, over the links between them."""
 
-    def __init__(self, fleet, asker, serve, sender):
+    def __init__(self, fleet, requester, serve, sender):
         self._fleet = fleet
-        self._asker = asker
+        self._requester = requester
         self._serve = serve
         self._sender = sender
 
-    def call(self, call, timeout_s, on_answer, *more):
+    def call(self, call, timeout_s, on_response, *more):
         loop = self._fleet.loop
         connection = Connection()
-        reader = CallReader(loop, timeout_s, on_answer, *more)
+        reader = ResponseReader(loop, timeout_s, on_response, *more)
         reader.connection = connection
 
         def reply(answer):
-            flow = connection.flow = Flow(answer, reader, self._fleet.receivers[self._asker])
+            flow = connection.flow = Flow(answer, reader, self._fleet.receivers[self._requester])
             self._sender().add(flow)
 
         loop.call_later(LINK_DELAY_S, lambda: self._serve(call, connection, reply))
@@ -189,30 +189,30 @@
 
     def start(self, address):
         super().start(address)
-        self.members[address].keeper._peers.own.capacity = self.capacities[address]
+        self.members[address].sync._peers.own.capacity = self.capacities[address]
 
-    def store_caller(self, address):
+    def store_client(self, address):
         def serve(call, _connection, reply):
             self.store.calls.append((self.loop.now(), address, call.target))
             self.store.serve(call, reply)
 
-        return LinkedCaller(self, address, serve, lambda: self.store_link)
+        return LinkedClient(self, address, serve, lambda: self.store_link)
 
-    def peer_caller(self, asker, address):
+    def peer_client(self, requester, address):
         def serve(call, connection, reply):
             router = self.members.get(address)
             if router is not None:
                 connection.exchange = LinkedExchange(call, reply)
-                router.keeper.relay.serve(connection.exchange)
+                router.sync.relay.serve(connection.exchange)
 
-        return LinkedCaller(self, asker, serve, lambda: self.senders[address])
+        return LinkedClient(self, requester, serve, lambda: self.senders[address])
 
     def change_configuration(self, routes):
         """Store a configuration with this number of routes."""
         self.store.configuration = large_configuration(routes, self.store.revision)
         self.store.change("config")
 
-    def behind(self):
+    def outdated(self):
         """Return the routers that do not have the store's newest configuration."""
         revision = self.store._changed_at["config"]
         return [
--- a/tests/router/quota_ways.py
+++ b/tests/router/quota_ways.py
@@ -67,7 +67,7 @@
         now = self._fleet.loop.now()
         told = sum(
             self._fleet.gates[record.address].total_at(told_at)
-            for record, told_at in self._peers.table.told()
+            for record, told_at in self._peers.table.timed_records()
         )
         self._bucket.take(max(0, told - self._known), now)
         self._known = max(told, self._known)
--- a/tests/router/quota_world.py
+++ b/tests/router/quota_world.py
@@ -76,7 +76,7 @@
         self.world.start(address, seeds, address.split(".")[1], quota_stage=stage.value)
         peers = self.world.routers[address]
         peers._send = lambda to, data: self.world.carry(address, to, data)
-        peers.tell = lambda to, message: self._tell(address, peers, to, message)
+        peers.send = lambda to, message: self._tell(address, peers, to, message)
         settings = RouterSettings(
             name=address,
             zone="z",
@@ -101,14 +101,14 @@
         gate = QuotaGate(
             self.loop, peers, address, owners, lambda: self.configuration, lambda: settings
         )
-        peers._on_quota = gate.take
+        peers._on_quota_message = gate.take
         peers._refresh = lambda own: setattr(own, "quota_stage", gate.stage().value)
         self.gates[address] = gate
         self._keep_house(address, gate)
 
     def _keep_house(self, address, gate):
         if self.gates.get(address) is gate:
-            if not self.world.routers[address].is_still:
+            if not self.world.routers[address].is_suspended:
                 gate.keep_house()
             self.loop.call_later(0.25, lambda: self._keep_house(address, gate))
 
@@ -122,7 +122,7 @@
         self.addresses.remove(address)
         peers = self.world.routers[address]
         peers.own.is_leaving = True
-        peers.tell_now()
+        peers.broadcast_record()
         self.loop.call_later(grace_s, lambda: self.stop(address))
 
     def vanish(self, address):
@@ -167,7 +167,7 @@
         """Let one caller come to a router; what is granted reaches a runner at once."""
         router = address or self.rng.choice(self.addresses)
         gate = self.gates.get(router)
-        if gate is None or self.world.routers[router].is_still:
+        if gate is None or self.world.routers[router].is_suspended:
             return
         began = self.loop.now()
 
--- a/tests/router/test_broken_entries.py
+++ b/tests/router/test_broken_entries.py
@@ -14,11 +14,11 @@
 
 from martenrun.net.http import HttpAnswer
 from martenrun.platform import DIALECT
-from martenrun.router.dataset_copy import CopyListener, DatasetCopy
-from martenrun.router.knowledge import ConfigurationKnowledge, RunnerDirectory, WeightsKnowledge
-from martenrun.router.knowledge_feed import KnowledgeFeed
+from martenrun.router.dataset_replica import DatasetReplica, ReplicaListener
 from martenrun.router.messages import Dataset, StoredObject, UnreadableError
 from martenrun.router.metrics import Metrics
+from martenrun.router.store_state import ConfigurationState, RunnerDirectory, WeightsState
+from martenrun.router.store_state_feed import StoreStateFeed
 from martenrun.router.store_watch import FollowSettings, StoreFollower
 
 from .fakes import FakeLoop
@@ -38,7 +38,7 @@
 
 MISSING = object()
 
-BROKEN = [
+INVALID_FIELDS = [
     *[(field, MISSING) for field in GOOD if field not in ("born", "models")],
     ("service", 7),
     ("service", ""),
@@ -77,103 +77,108 @@
 ]
 """Fields of an entry and invalid values for them."""
 
-OTHERS = [None, 7, "text", [], True, {}]
+WRONG_TYPES = [None, 7, "text", [], True, {}]
 """Entries of a wrong type."""
 
 
-def broken(field, value):
+def entry_with(field, value):
     entry = {name: item for name, item in GOOD.items() if name != field}
     return entry if value is MISSING else {**entry, field: value}
 
 
 CONTENTS = [
-    pytest.param(broken(*item), id=f"{item[0]}-{number}") for number, item in enumerate(BROKEN)
-] + [pytest.param(item, id=f"content-{item!r}") for item in OTHERS]
+    pytest.param(entry_with(*item), id=f"{item[0]}-{number}")
+    for number, item in enumerate(INVALID_FIELDS)
+] + [pytest.param(item, id=f"content-{item!r}") for item in WRONG_TYPES]
 
 
-class Fed:
+class FedState:
     """A router's state, fed with objects of the store."""
 
     def __init__(self):
         self.loop = FakeLoop()
         self.dialect = DIALECT
-        self.configuration = ConfigurationKnowledge()
+        self.configuration = ConfigurationState()
         self.runners = RunnerDirectory()
-        self.weights = WeightsKnowledge()
+        self.weights = WeightsState()
         self.metrics = Metrics(list)
-        self.feed = KnowledgeFeed(self, self.metrics, lambda: None)
+        self.feed = StoreStateFeed(self, self.metrics, lambda: None)
         self.revision = 0
 
     def put(self, dataset, name, spec):
         self.revision += 1
         stored = StoredObject(name, self.revision, spec)
-        self.feed.copies[dataset].apply([stored], [], self.revision, False, self.loop.now())
+        self.feed.replicas[dataset].apply([stored], [], self.revision, False, self.loop.now())
 
 
-def named(fed):
-    return sorted(runner.name for runner in fed.runners.runners.values())
+def runner_names(state):
+    return sorted(runner.name for runner in state.runners.runners.values())
 
 
 @pytest.mark.parametrize("content", CONTENTS)
 def test_invalid_entry_lists_no_runner_and_the_others_stay(content):
-    fed = Fed()
-    fed.put(Dataset.RUNNERS, "i-1", GOOD)
-    fed.put(Dataset.RUNNERS, "i-2", GOOD)
-    assert named(fed) == ["i-1", "i-2"]
-    fed.put(Dataset.RUNNERS, "i-1", content)
-    assert named(fed) == ["i-2"]
-    assert b'objects_unreadable_total{dataset="runners"} 1' in fed.metrics.text()
-    fed.put(Dataset.RUNNERS, "i-1", GOOD)
-    assert named(fed) == ["i-1", "i-2"]
+    state = FedState()
+    state.put(Dataset.RUNNERS, "i-1", GOOD)
+    state.put(Dataset.RUNNERS, "i-2", GOOD)
+    assert runner_names(state) == ["i-1", "i-2"]
+    state.put(Dataset.RUNNERS, "i-1", content)
+    assert runner_names(state) == ["i-2"]
+    assert b'objects_unreadable_total{dataset="runners"} 1' in state.metrics.text()
+    state.put(Dataset.RUNNERS, "i-1", GOOD)
+    assert runner_names(state) == ["i-1", "i-2"]
 
 
 def test_unknown_and_missing_optional_fields_are_accepted():
-    fed = Fed()
-    fed.put(Dataset.RUNNERS, "i-1", {**GOOD, "stage": "both", "something": [1]})
-    fed.put(Dataset.RUNNERS, "i-2", broken("born", MISSING))
-    fed.put(Dataset.RUNNERS, "i-3", broken("models", MISSING))
-    assert named(fed) == ["i-1", "i-2", "i-3"]
+    state = FedState()
+    state.put(Dataset.RUNNERS, "i-1", {**GOOD, "stage": "both", "something": [1]})
+    state.put(Dataset.RUNNERS, "i-2", entry_with("born", MISSING))
+    state.put(Dataset.RUNNERS, "i-3", entry_with("models", MISSING))
+    assert runner_names(state) == ["i-1", "i-2", "i-3"]
 
 
-@pytest.mark.parametrize("content", [*OTHERS, {"version": "3"}, {"version": 3}, {"version": -1}])
+@pytest.mark.parametrize(
+    "content", [*WRONG_TYPES, {"version": "3"}, {"version": 3}, {"version": -1}]
+)
 def test_invalid_configuration_neither_replaces_a_valid_one_nor_confirms_it(content):
-    fed = Fed()
-    fed.put(Dataset.CONFIGURATION, "main", {"version": 2, "routes": [], "services": []})
-    fed.feed.copies[Dataset.CONFIGURATION].confirm(100.0)
-    fed.feed.confirm()
-    fed.put(Dataset.CONFIGURATION, "main", content)
-    fed.feed.copies[Dataset.CONFIGURATION].confirm(101.0)
-    fed.feed.confirm()
-    assert fed.configuration.version == 2
-    assert fed.configuration.age_s(102.0) == 2.0
+    state = FedState()
+    state.put(Dataset.CONFIGURATION, "main", {"version": 2, "routes": [], "services": []})
+    state.feed.replicas[Dataset.CONFIGURATION].confirm(100.0)
+    state.feed.confirm()
+    state.put(Dataset.CONFIGURATION, "main", content)
+    state.feed.replicas[Dataset.CONFIGURATION].confirm(101.0)
+    state.feed.confirm()
+    assert state.configuration.version == 2
+    assert state.configuration.age_s(102.0) == 2.0
 
 
 # Guards against a valid configuration that a recheck of a denial reads late and that counts as
 # confirmed, while the watch reports a newer, invalid one.
 def test_late_older_configuration_confirms_nothing():
-    fed = Fed()
+    state = FedState()
     good = {"version": 2, "routes": [], "services": []}
-    fed.put(Dataset.CONFIGURATION, "main", good)
-    fed.put(Dataset.CONFIGURATION, "main", {"version": "3"})
-    fed.feed.put_configuration(StoredObject("main", 1, good))
-    assert not fed.configuration.confirm(101.0)
+    state.put(Dataset.CONFIGURATION, "main", good)
+    state.put(Dataset.CONFIGURATION, "main", {"version": "3"})
+    state.feed.put_configuration(StoredObject("main", 1, good))
+    assert not state.configuration.confirm(101.0)
 
 
-@pytest.mark.parametrize("content", [*OTHERS, {"model": "m"}, {"model": "m", "version": "4"}])
+@pytest.mark.parametrize("content", [*WRONG_TYPES, {"model": "m"}, {"model": "m", "version": "4"}])
 def test_invalid_weights_set_no_version(content):
-    fed = Fed()
-    fed.put(Dataset.WEIGHTS, "m", {"model": "m", "version": 3})
-    fed.put(Dataset.WEIGHTS, "m", content)
-    assert fed.weights.wanted["m"].version == 3
+    state = FedState()
+    state.put(Dataset.WEIGHTS, "m", {"model": "m", "version": 3})
+    state.put(Dataset.WEIGHTS, "m", content)
+    assert state.weights.targets["m"].version == 3
 
 
-BROKEN_ITEMS = [None, 7, "text", [], {}, {"metadata": None}, {"metadata": {}}, {"spec": GOOD}]
-BROKEN_BODIES = [b"", b"no json", b"\xff\xfe", b"7", b"null", b"{}", b'{"items": 7, "at": 3}']
+INVALID_ITEMS = [None, 7, "text", [], {}, {"metadata": None}, {"metadata": {}}, {"spec": GOOD}]
+INVALID_BODIES = [b"", b"no json", b"\xff\xfe", b"7", b"null", b"{}", b'{"items": 7, "at": 3}']
 
 
 class AnsweringStore:
     """Answers each call with the next body."""
+
     """Responds to each call with the next body."""
+
     def __init__(self, loop, bodies):
         self._loop = loop
         self._bodies = list(bodies)
@@ -188,46 +193,48 @@
             self._loop.call_later(0.01, lambda: on_answer(HttpAnswer(200, [], body)))
 
 
-def followed(bodies, seconds=3.0):
+def follow(bodies, seconds=3.0):
     """Follow a store that sends these bodies; return the replica and the number of calls."""
     loop = FakeLoop()
-    copy = DatasetCopy(Dataset.RUNNERS, CopyListener(lambda _: None, lambda _: None, lambda: None))
+    replica = DatasetReplica(
+        Dataset.RUNNERS, ReplicaListener(lambda _: None, lambda _: None, lambda: None)
+    )
     store = AnsweringStore(loop, bodies)
-    follower = StoreFollower(loop, store, DIALECT, FollowSettings(0.5), copy, lambda: None)
+    follower = StoreFollower(loop, store, DIALECT, FollowSettings(0.5), replica, lambda: None)
     follower.start()
     loop.run_until(loop.now() + seconds)
-    return copy, store.calls
+    return replica, store.calls
 
 
 def stored(name, revision):
     return {"metadata": {"name": name, "revision": revision}, "spec": GOOD}
 
 
-def names(copy):
-    return sorted(item.name for item in copy.objects)
+def names(replica):
+    return sorted(item.name for item in replica.objects)
 
 
-@pytest.mark.parametrize("item", BROKEN_ITEMS)
+@pytest.mark.parametrize("item", INVALID_ITEMS)
 def test_invalid_object_in_a_list_is_skipped(item):
     page = json.dumps({"items": [stored("a", 1), item, stored("b", 2)], "more": False, "at": 5})
-    copy, calls = followed([page.encode()])
-    assert names(copy) == ["a", "b"] and calls > 1
+    replica, calls = follow([page.encode()])
+    assert names(replica) == ["a", "b"] and calls > 1
 
 
-@pytest.mark.parametrize("item", [*BROKEN_ITEMS, {"object": None}, {"object": 7, "gone": "x"}])
+@pytest.mark.parametrize("item", [*INVALID_ITEMS, {"object": None}, {"object": 7, "gone": "x"}])
 def test_invalid_event_is_skipped_and_the_next_call_is_made(item):
     page = json.dumps({"items": [stored("a", 1)], "more": False, "at": 5})
     events = [{"object": stored("b", 6), "gone": False}, item, {"object": stored("c", 7)}]
     changes = json.dumps({"events": events, "at": 8})
-    copy, calls = followed([page.encode(), changes.encode()])
-    assert names(copy) == ["a", "b", "c"] and calls > 2
+    replica, calls = follow([page.encode(), changes.encode()])
+    assert names(replica) == ["a", "b", "c"] and calls > 2
 
 
-@pytest.mark.parametrize("body", BROKEN_BODIES)
+@pytest.mark.parametrize("body", INVALID_BODIES)
 def test_follower_continues_after_an_invalid_response(body):
     page = json.dumps({"items": [stored("a", 1)], "more": False, "at": 5}).encode()
-    copy, calls = followed([body, page, body, page])
-    assert names(copy) == ["a"] and calls >= 4
+    replica, calls = follow([body, page, body, page])
+    assert names(replica) == ["a"] and calls >= 4
 
 
 JSON = st.recursive(
@@ -250,8 +257,8 @@
     | st.sampled_from([b"[" * 100_000, b'{"items":' * 50_000, b'{"at":1e999999}'])
 )
 
-OF_BODIES = [DIALECT.read_page, DIALECT.read_changes, DIALECT.read_stored, DIALECT.read_report]
-OF_OBJECTS = [
+BODY_DECODERS = [DIALECT.read_page, DIALECT.read_changes, DIALECT.read_stored, DIALECT.read_report]
+OBJECT_DECODERS = [
     DIALECT.read_configuration,
     DIALECT.read_runner,
     DIALECT.read_weights,
@@ -259,7 +266,7 @@
 ]
 
 
-@pytest.mark.parametrize("decode", OF_BODIES)
+@pytest.mark.parametrize("decode", BODY_DECODERS)
 @settings(derandomize=True, deadline=None)
 @given(body=BODIES)
 def test_no_bytes_raise_anything_else_than_unreadable(decode, body):
@@ -269,7 +276,7 @@
         return
 
 
-@pytest.mark.parametrize("decode", OF_OBJECTS)
+@pytest.mark.parametrize("decode", OBJECT_DECODERS)
 @settings(derandomize=True, deadline=None)
 @given(spec=JSON)
 def test_no_content_raises_anything_else_than_unreadable(decode, spec):
--- a/tests/router/test_configuration_told.py
+++ b/tests/router/test_configuration_told.py
@@ -12,30 +12,30 @@
 
 from martenrun.net.http import HttpRequest
 from martenrun.router.admission import Admission, Refusal
-from martenrun.router.knowledge import ConfigurationKnowledge
 from martenrun.router.messages import Admitted, Call
+from martenrun.router.store_state import ConfigurationState
 
 from .builders import bounds, configuration
 from .fakes import FakeLoop
 
 
-def take(behind, version, now):
-    behind.configuration.take(configuration(version))
-    behind.configuration.hear([(version, 0)], now)
+def put_configuration(behind, version, now):
+    behind.configuration.put(configuration(version))
+    behind.configuration.merge_versions([(version, 0)], now)
 
 
 @pytest.fixture
 def behind():
     """A router with version 8 and a bound of 2 s that learns of version 12 at 100.0 s."""
-    known = ConfigurationKnowledge()
+    state = ConfigurationState()
     world = SimpleNamespace(
         loop=FakeLoop(),
-        configuration=known,
+        configuration=state,
         settings=SimpleNamespace(bounds=bounds(configuration_s=2.0)),
     )
-    take(world, 8, 90.0)
-    known.confirm(100.0)
-    known.hear([(12, 0)], 100.0)
+    put_configuration(world, 8, 90.0)
+    state.confirm(100.0)
+    state.merge_versions([(12, 0)], 100.0)
     return world
 
 
@@ -53,34 +53,34 @@
 
 
 def test_it_serves_again_after_it_has_caught_up(behind):
-    take(behind, 12, 102.5)
+    put_configuration(behind, 12, 102.5)
     assert isinstance(decide_at(behind, 104.0), Admitted)
 
 
 def test_intermediate_version_is_not_enough_after_its_successor_is_due(behind):
-    behind.configuration.hear([(15, 0)], 101.0)
-    take(behind, 12, 101.5)
+    behind.configuration.merge_versions([(15, 0)], 101.0)
+    put_configuration(behind, 12, 101.5)
     assert isinstance(decide_at(behind, 102.5), Admitted)
     assert isinstance(decide_at(behind, 102.9), Refusal)
 
 
 def test_repeated_reports_of_a_version_do_not_renew_it(behind):
     for tenth in range(1, 18):
-        behind.configuration.hear([(12, 100 * tenth)], 100.0 + tenth / 10)
+        behind.configuration.merge_versions([(12, 100 * tenth)], 100.0 + tenth / 10)
     assert isinstance(decide_at(behind, 101.9), Refusal)
 
 
 # Guards against a renewed age when versions follow each other so fast that only the last are kept.
 def test_newer_version_after_many_others_does_not_reset_the_age(behind):
     for number in range(60):
-        behind.configuration.hear([(13 + number, 0)], 100.0 + number * 0.03)
+        behind.configuration.merge_versions([(13 + number, 0)], 100.0 + number * 0.03)
     assert isinstance(decide_at(behind, 101.9), Refusal)
 
 
 def test_it_keeps_serving_without_reports_of_newer_versions(behind):
     """The store may be down; then no router has a newer version, and age alone proves nothing."""
-    known = behind.configuration
-    take(behind, 12, 100.0)
-    known.confirm(100.5)
+    state = behind.configuration
+    put_configuration(behind, 12, 100.0)
+    state.confirm(100.5)
     assert isinstance(decide_at(behind, 104.0), Admitted)
-    assert known.told(104.0)[-1] == (12, 4_000)
+    assert state.versions_in_force(104.0)[-1] == (12, 4_000)
--- a/tests/router/test_denials.py
+++ b/tests/router/test_denials.py
@@ -8,8 +8,13 @@
 from martenrun.net.http import HttpAnswer
 from martenrun.platform import DIALECT
 from martenrun.platform.objects import _ENCODE
-from martenrun.router.denials import CONFIRM_TIMEOUT_S, DENIAL_AGE_S, DENIAL_WAIT_S, Denials
-from martenrun.router.knowledge import ConfigurationKnowledge
+from martenrun.router.denials import (
+    CONFIRM_TIMEOUT_S,
+    DENIAL_WAIT_S,
+    MAX_DENIAL_AGE_S,
+    DenialRecheck,
+)
+from martenrun.router.store_state import ConfigurationState
 
 from .builders import configuration
 from .fakes import FakeLoop
@@ -26,13 +31,13 @@
         self.is_silent = True
         self.reads = 0
 
-    def call(self, call, timeout_s, on_answer, longest_s):
+    def call(self, call, timeout_s, on_response, max_response_s):
         self.reads += 1
         if self.is_silent:
-            self.loop.call_later(timeout_s, lambda: on_answer(None))
+            self.loop.call_later(timeout_s, lambda: on_response(None))
         else:
             body = _ENCODE({"metadata": {"name": "main", "revision": 1}, "spec": {}})
-            self.loop.call_later(0.004, lambda: on_answer(HttpAnswer(200, [], body)))
+            self.loop.call_later(0.004, lambda: on_response(HttpAnswer(200, [], body)))
 
 
 class FakeExchange:
@@ -50,72 +55,72 @@
     def __init__(self):
         self.loop = FakeLoop()
         self.store = ReadStore(self.loop)
-        self.knowledge = ConfigurationKnowledge()
-        self.knowledge.take(configuration(1))
-        self.knowledge.confirm(self.loop.now())
-        world = SimpleNamespace(loop=self.loop, configuration=self.knowledge, dialect=DIALECT)
+        self.state = ConfigurationState()
+        self.state.put(configuration(1))
+        self.state.confirm(self.loop.now())
+        world = SimpleNamespace(loop=self.loop, configuration=self.state, dialect=DIALECT)
         admission = SimpleNamespace(
             decide=lambda exchange, call: SimpleNamespace(status=404, reason="no_route")
         )
         feed = SimpleNamespace(put_configuration=lambda stored: None)
-        self.denials = Denials(world, admission, self.store, feed, lambda *_: None)
+        self.recheck = DenialRecheck(world, admission, self.store, feed, lambda *_: None)
 
-    def ask(self):
+    def send(self):
         exchange = FakeExchange(self.loop)
-        self.denials.look_again(exchange, SimpleNamespace(request_id=b"r"))
+        self.recheck.recheck(exchange, SimpleNamespace(request_id=b"r"))
         return exchange
 
-    def go_on(self, seconds):
+    def run(self, seconds):
         self.loop.run_until(self.loop.now() + seconds)
 
-    def let_a_read_fail(self):
-        self.go_on(DENIAL_AGE_S + 0.1)
-        first = self.ask()
-        self.go_on(DENIAL_WAIT_S + CONFIRM_TIMEOUT_S + 0.01)
+    def fail_one_read(self):
+        self.run(MAX_DENIAL_AGE_S + 0.1)
+        first = self.send()
+        self.run(DENIAL_WAIT_S + CONFIRM_TIMEOUT_S + 0.01)
         assert [status for _, status in first.answers] == [503]
 
 
 # Guards against denials that each wait for a store that does not respond.
 def test_denials_are_refused_at_once_after_a_read_has_failed():
     world = DenialWorld()
-    world.let_a_read_fail()
-    later = world.ask()
-    world.go_on(DENIAL_WAIT_S + 0.01)
+    world.fail_one_read()
+    later = world.send()
+    world.run(DENIAL_WAIT_S + 0.01)
     assert [status for _, status in later.answers] == [503]
 
 
 # Guards against one store call per denial.
 def test_denials_share_one_read():
     world = DenialWorld()
-    world.go_on(DENIAL_AGE_S + 0.1)
-    asked = [world.ask() for _ in range(20)]
-    world.go_on(DENIAL_WAIT_S + 0.01)
+    world.run(MAX_DENIAL_AGE_S + 0.1)
+    sent = [world.send() for _ in range(20)]
+    world.run(DENIAL_WAIT_S + 0.01)
     assert world.store.reads == 1
-    world.go_on(CONFIRM_TIMEOUT_S)
-    assert [len(exchange.answers) for exchange in asked] == [1] * 20
+    world.run(CONFIRM_TIMEOUT_S)
+    assert [len(exchange.answers) for exchange in sent] == [1] * 20
 
 
 def test_denials_are_decided_after_a_background_read_succeeded():
     world = DenialWorld()
-    world.let_a_read_fail()
+    world.fail_one_read()
     world.store.is_silent = False
-    refused = world.ask()
-    world.go_on(DENIAL_WAIT_S + 0.02)
-    decided = world.ask()
-    world.go_on(DENIAL_WAIT_S + 0.02)
+    refused = world.send()
+    world.run(DENIAL_WAIT_S + 0.02)
+    decided = world.send()
+    world.run(DENIAL_WAIT_S + 0.02)
     assert [status for _, status in refused.answers + decided.answers] == [503, 404]
 
 
 def test_failed_read_is_forgotten_after_the_configuration_was_confirmed():
     world = DenialWorld()
-    world.let_a_read_fail()
-    world.go_on(1.0)
-    world.knowledge.confirm(world.loop.now())
-    world.go_on(DENIAL_AGE_S + 0.1)
-    waits = world.ask()
-    world.go_on(DENIAL_WAIT_S + 0.02)
+    world.fail_one_read()
+    world.run(1.0)
+    world.state.confirm(world.loop.now())
+    world.run(MAX_DENIAL_AGE_S + 0.1)
+    waits = world.send()
+    world.run(DENIAL_WAIT_S + 0.02)
     assert not waits.answers
-    world.go_on(CONFIRM_TIMEOUT_S)
+    world.run(CONFIRM_TIMEOUT_S)
     assert [status for _, status in waits.answers] == [503]
 
 
--- a/tests/router/test_forwarding.py
+++ b/tests/router/test_forwarding.py
@@ -9,10 +9,10 @@
 from martenrun.router.decisions import DEFAULTS
 from martenrun.router.fingerprint import fingerprint
 from martenrun.router.forwarding import Forwarding
-from martenrun.router.knowledge import ConfigurationKnowledge, RunnerDirectory, WeightsKnowledge
 from martenrun.router.messages import Admitted, Call, PromptPart, RouteKind, WantedWeights
 from martenrun.router.placement import Placement
 from martenrun.router.reading_speed import LEAST_SAMPLES
+from martenrun.router.store_state import ConfigurationState, RunnerDirectory, WeightsState
 from martenrun.router.world import World
 
 from .blame_world import Probes, suspects
@@ -124,9 +124,9 @@
         self.pool = FakePool(self.loop, self.states, script)
         limits = bounds(budget_slack=budget_slack, budget_ratio=0.0)
         settings = type("Settings", (), {"bounds": limits, "zone": "z1"})()
-        self.weights = WeightsKnowledge()
-        knowledge = ConfigurationKnowledge()
-        knowledge.take(configuration(1))
+        self.weights = WeightsState()
+        knowledge = ConfigurationState()
+        knowledge.put(configuration(1))
         knowledge.confirm(self.loop.now())
         self.ends = []
         self.probes = Probes()
@@ -263,7 +263,7 @@
     first = played.pool.sent[0]
     other = new if first == "i-0" else old
     other.learn_weights("m", 2)
-    played.weights.take(WantedWeights("m", 2), played.loop.now())
+    played.weights.put(WantedWeights("m", 2), played.loop.now())
     played.forwarding.leave_old_weights(played.loop.now() + 7.0)
     assert len(played.pool.sent) == 1
     played.loop.time += 7.5
--- a/tests/router/test_gossip_world.py
+++ b/tests/router/test_gossip_world.py
@@ -3,15 +3,15 @@
 import pytest
 
 from martenrun.router.peer_messages import Gossip, encode
-from martenrun.router.router_table import longest_named_s
+from martenrun.router.router_table import max_detection_s
 
 from .gossip_world import GossipWorld, router_record
 
 SETTLED_S = 18.0
-WATCHED_S = 40.0
+OBSERVED_S = 40.0
 STEP_S = 0.1
 
-NAMED_BOUND_S = 4.5
+MAX_DETECTION_S = 4.5
 """How long after its end a small deployment may consider a router alive, in seconds.
 
 The maximum age of a record that counts as received in time and the time after which a silent router
@@ -29,89 +29,93 @@
     return world, addresses
 
 
-def named_until(world, gone, each_step=lambda _since: None):
+def last_seen_alive_s(world, departed, each_step=lambda _since: None):
     """Stop a router; return the last time after that at which another considered it alive."""
-    world.stop(gone)
-    ended_at = world.now()
+    world.stop(departed)
+    stopped_at = world.now()
     last = 0.0
-    while (since := world.now() - ended_at) < WATCHED_S:
-        each_step(since)
-        if any(gone in peers.named() for peers in world.alive()):
-            last = since
+    while (elapsed_s := world.now() - stopped_at) < OBSERVED_S:
+        each_step(elapsed_s)
+        if any(departed in peers.live_addresses() for peers in world.running()):
+            last = elapsed_s
         world.run(STEP_S)
     return last
 
 
-def named_through_restarts(seed, pause_s):
+def detection_after_restarts_s(seed, pause_s):
     """Return how long a departed router is considered alive while the others restart in turn."""
     world, addresses = settled_world(seed)
     others = addresses[:-1]
     started = 0
 
-    def restart_next(since):
+    def restart_next(elapsed_s):
         nonlocal started
-        if since >= started * pause_s:
+        if elapsed_s >= started * pause_s:
             world.start(others[started % len(others)], seeds=addresses[:3])
             started += 1
 
-    return named_until(world, addresses[-1], restart_next)
+    return last_seen_alive_s(world, addresses[-1], restart_next)
 
 
-def named_after_stand_still(still_s):
+def detection_after_suspension_s(suspended_s):
     """Return how long a router that left while another was suspended is considered alive."""
     world, addresses = settled_world(1)
-    world.stand_still(addresses[1])
+    world.suspend(addresses[1])
     world.run(0.5)
 
-    def go_on(since):
-        if world.routers[addresses[1]].is_still and since >= still_s:
-            world.go_on(addresses[1], still_s + 0.5)
+    def resume(elapsed_s):
+        if world.routers[addresses[1]].is_suspended and elapsed_s >= suspended_s:
+            world.resume(addresses[1], suspended_s + 0.5)
 
-    return named_until(world, addresses[3], go_on)
+    return last_seen_alive_s(world, addresses[3], resume)
 
 
 # Guards against routers that learn of a departed router at each restart, as if it were alive.
 def test_no_series_of_restarts_keeps_a_departed_router_named():
-    named = {
-        (seed, pause_s): named_through_restarts(seed, pause_s)
+    seen_alive = {
+        (seed, pause_s): detection_after_restarts_s(seed, pause_s)
         for seed in range(4)
         for pause_s in (0.3, 0.6, 1.0, 1.9)
     }
-    assert {case: until for case, until in named.items() if until > NAMED_BOUND_S} == {}
+    assert {case: until for case, until in seen_alive.items() if until > MAX_DETECTION_S} == {}
 
 
 # Guards against datagrams that waited in the socket of a suspended process and count as current.
 def test_a_router_that_stood_still_does_not_name_who_left_meanwhile():
-    named = {still_s: named_after_stand_still(still_s) for still_s in (3.0, 8.0, 25.0)}
-    assert {still: until for still, until in named.items() if until > NAMED_BOUND_S} == {}
+    seen_alive = {
+        suspended_s: detection_after_suspension_s(suspended_s) for suspended_s in (3.0, 8.0, 25.0)
+    }
+    assert {
+        duration_s: until for duration_s, until in seen_alive.items() if until > MAX_DETECTION_S
+    } == {}
 
 
-def falsely_dead(world, seconds):
+def false_death_share(world, seconds):
     """Return the share of checks at which a live router is considered dead by another."""
-    missed = looks = 0
+    mistakes = checks = 0
     end = world.now() + seconds
     while world.now() < end:
         world.run(0.5)
-        alive = world.alive()
-        missed += sum(len(alive) - 1 - len(peers.named()) for peers in alive)
-        looks += len(alive) * (len(alive) - 1)
-    return missed / looks
+        alive = world.running()
+        mistakes += sum(len(alive) - 1 - len(peers.live_addresses()) for peers in alive)
+        checks += len(alive) * (len(alive) - 1)
+    return mistakes / checks
 
 
 def test_live_routers_are_not_declared_dead_over_many_hops():
     """Without requests, gossip is the only source of heartbeats."""
     for count in (8, 16, 30):
         world, _ = settled_world(1, count, copies=(0, *[1] * 9))
-        assert falsely_dead(world, 15.0) == 0.0
+        assert false_death_share(world, 15.0) == 0.0
 
 
-MISTAKEN_SHARE = 1e-4
+MAX_FALSE_DEATH_SHARE = 1e-4
 """Maximum share of checks at which a live router may be considered dead, or be unknown."""
 
 
 def test_live_routers_of_a_large_deployment_are_hardly_ever_declared_dead():
     world, _ = settled_world(1, 79)
-    assert falsely_dead(world, 10.0) <= MISTAKEN_SHARE
+    assert false_death_share(world, 10.0) <= MAX_FALSE_DEATH_SHARE
 
 
 # Guards against records that take a minute to reach all routers: missing ones must be requested.
@@ -121,34 +125,34 @@
     for number, address in enumerate(addresses):
         world.start(address, seeds=addresses[:3], zone=f"z{number % 5}")
     world.run(5.0)
-    assert falsely_dead(world, 4.0) <= MISTAKEN_SHARE
-    gone = addresses[100]
-    world.stop(gone)
-    world.run(longest_named_s(195) + 0.5)
-    assert [peers for peers in world.alive() if gone in peers.named()] == []
+    assert false_death_share(world, 4.0) <= MAX_FALSE_DEATH_SHARE
+    departed = addresses[100]
+    world.stop(departed)
+    world.run(max_detection_s(195) + 0.5)
+    assert [peers for peers in world.running() if departed in peers.live_addresses()] == []
 
 
 def test_overlapping_restarts_and_suspensions_keep_no_departed_router_alive():
     """Routers restart and are suspended at random; datagrams are lost, duplicated and delayed."""
     for seed in range(6):
         world, addresses = settled_world(seed, delays_s=(0.002, 0.05, 0.2), copies=(0, 1, 1, 2))
-        standing = {}
+        suspended = {}
 
-        def strike(since, world=world, addresses=addresses, standing=standing):
+        def inject_failures(elapsed_s, world=world, addresses=addresses, suspended=suspended):
             rng, others = world.rng, addresses[:-1]
-            for address, until in list(standing.items()):
-                if since >= until[0]:
-                    world.go_on(address, since - until[1])
-                    del standing[address]
-            free = [address for address in others if address not in standing]
+            for address, until in list(suspended.items()):
+                if elapsed_s >= until[0]:
+                    world.resume(address, elapsed_s - until[1])
+                    del suspended[address]
+            free = [address for address in others if address not in suspended]
             if rng.random() < 0.1:
                 world.start(rng.choice(free), seeds=addresses[:3])
             if rng.random() < 0.04 and len(free) > 4:
                 address = rng.choice(free)
-                world.stand_still(address)
-                standing[address] = (since + rng.uniform(0.5, 12.0), since)
+                world.suspend(address)
+                suspended[address] = (elapsed_s + rng.uniform(0.5, 12.0), elapsed_s)
 
-        assert named_until(world, addresses[-1], strike) <= NAMED_BOUND_S + 1.0
+        assert last_seen_alive_s(world, addresses[-1], inject_failures) <= MAX_DETECTION_S + 1.0
 
 
 # Guards against an endless loop of a router that replies to its own earlier incarnation.
@@ -158,7 +162,7 @@
     sent = []
     world.send = lambda address, _data: sent.append(address)
     for incarnation in (1, 9):
-        world.routers["a"].take_datagram(encode(Gossip([router_record("a", incarnation)])))
+        world.routers["a"].receive_datagram(encode(Gossip([router_record("a", incarnation)])))
     assert sent == []
 
 
@@ -166,15 +170,15 @@
     world = GossipWorld(1)
     for address in ("a", "b"):
         world.start(address, zone="z")
-    greeted = encode(Gossip([world.routers["b"].own]))
+    gossip = encode(Gossip([world.routers["b"].own]))
     sent = []
     world.send = lambda address, _data: sent.append(address)
     for _ in range(3):
-        world.routers["a"].take_datagram(greeted)
+        world.routers["a"].receive_datagram(gossip)
     assert sent == ["b"]
 
 
-# Guards against slow gossip after many routers left and joined within 20 s (soak seed 3004).
+# Guards against slow gossip after many of 16 routers left and joined within 20 s (soak seed 3004).
 def test_departed_routers_do_not_slow_down_the_gossip():
     world, addresses = settled_world(1, 16)
     for number, address in enumerate(addresses[1:13]):
@@ -182,8 +186,8 @@
         world.start(f"n{number}", seeds=addresses[:3])
         world.run(1.0)
     world.run(5.0)
-    assert [peers.table.slowness() for peers in world.alive()] == [1.0] * 16
-    assert named_until(world, addresses[13]) <= NAMED_BOUND_S
+    assert [peers.table.slowdown() for peers in world.running()] == [1.0] * 16
+    assert last_seen_alive_s(world, addresses[13]) <= MAX_DETECTION_S
 
 
 # Guards against late notice of a new configuration when versions follow each other every 60 ms.
@@ -192,14 +196,14 @@
     for address in ("10.0.0.1:7", "10.0.0.2:7"):
         world.start(address, ("10.0.0.1:7",))
     world.run(2.0)
-    teller, _ = world.routers.values()
-    told_at = []
-    teller._send_to = lambda _addresses, _message: told_at.append(world.now())
+    sender, _ = world.routers.values()
+    sent_at = []
+    sender._send_to = lambda _addresses, _message: sent_at.append(world.now())
     for number in range(30):
-        world.loop.call_later(number * 0.06, teller.tell_soon)
+        world.loop.call_later(number * 0.06, sender.schedule_record_broadcast)
     world.run(3.0)
-    assert told_at[0] == pytest.approx(2.0)
-    assert 4 <= len(told_at) <= 5 and told_at[-1] >= 2.0 + 29 * 0.06
+    assert sent_at[0] == pytest.approx(2.0)
+    assert 4 <= len(sent_at) <= 5 and sent_at[-1] >= 2.0 + 29 * 0.06
 
 
 def test_versions_in_force_are_received_with_their_age():
@@ -207,16 +211,16 @@
     for address in ("10.0.0.1:7", "10.0.0.2:7"):
         world.start(address, ("10.0.0.1:7",))
     world.run(2.0)
-    teller, hearer = world.routers.values()
-    teller.own.configurations = [(8, 1_500)]
-    teller.tell_now()
+    sender, receiver = world.routers.values()
+    sender.own.configurations = [(8, 1_500)]
+    sender.broadcast_record()
     world.run(0.1)
-    ((record, told_at),) = hearer.table.told()
+    ((record, reported_at),) = receiver.table.timed_records()
     assert record.configurations == [(8, 1_500)]
-    assert told_at == pytest.approx(hearer.now() - 0.1, abs=0.01)
+    assert reported_at == pytest.approx(receiver.now() - 0.1, abs=0.01)
 
 
-class StandingStill:
+class SuspendingSocket:
     """A socket whose router is suspended for 6 s before it reads the last datagram."""
 
     def __init__(self, loop, datagrams):
@@ -240,8 +244,9 @@
     world.run(1.0)
     peers = world.routers["10.0.0.1:7"]
     gossip = [
-        encode(Gossip([router_record(address, beat=5)])) for address in ("10.0.0.2:7", "10.0.0.3:7")
+        encode(Gossip([router_record(address, heartbeat=5)]))
+        for address in ("10.0.0.2:7", "10.0.0.3:7")
     ]
-    peers._socket = StandingStill(world.loop, gossip)
+    peers._socket = SuspendingSocket(world.loop, gossip)
     peers._receive()
-    assert "10.0.0.3:7" not in peers.named()
+    assert "10.0.0.3:7" not in peers.live_addresses()
--- a/tests/router/test_large_configuration.py
+++ b/tests/router/test_large_configuration.py
@@ -11,35 +11,35 @@
 
 from .link_world import LinkedFleet, size_of
 
-KNOWN_WITHIN_S = 2.5
+MAX_SPREAD_S = 2.5
 """Time for all to have a change: the tightest bound among deployments of this size is 3 s."""
 
 
-def settled(count, routes):
+def settled_fleet(count, routes):
     """Return a fleet that has run for some seconds with this number of routes."""
     fleet = LinkedFleet(1, count)
     fleet.change_configuration(routes)
     fleet.start_all()
     fleet.world.run(12.0)
-    assert not fleet.behind()
+    assert not fleet.outdated()
     return fleet
 
 
-def spread_s(fleet, limit_s=15.0):
+def measure_spread_s(fleet, limit_s=15.0):
     """Return how long it takes until every router has the newest configuration."""
     began_at = fleet.world.now()
-    while fleet.behind() and fleet.world.now() - began_at < limit_s:
+    while fleet.outdated() and fleet.world.now() - began_at < limit_s:
         fleet.world.run(0.05)
     return fleet.world.now() - began_at
 
 
 def test_all_know_a_large_configuration_in_time():
     """The incident's three changes, each directly followed by another of the same size."""
-    fleet = settled(69, 100)
+    fleet = settled_fleet(69, 100)
     times_s = []
     for routes in (1_400, 2_800, 4_200):
         for _ in range(2):
             fleet.change_configuration(routes)
-            times_s.append(spread_s(fleet))
+            times_s.append(measure_spread_s(fleet))
         assert 240 * routes < size_of(fleet.store.configuration) < 300 * routes
-    assert max(times_s) < KNOWN_WITHIN_S, times_s
+    assert max(times_s) < MAX_SPREAD_S, times_s
--- a/tests/router/test_loads.py
+++ b/tests/router/test_loads.py
@@ -24,7 +24,7 @@
     loads.note_reading(state)
     state.reading = 0.0
     loads.note_reading(state)
-    assert peers.readings == [
+    assert peers.load_updates == [
         ("i-0", RunnerLoad(1, 9_000, 9_200)),
         ("i-0", RunnerLoad(1, 0, 9_200)),
     ]
@@ -37,15 +37,15 @@
     loads.note_reading(state)
     peers.time = READING_TOLD_AGAIN_S / 2
     loads.tell_again()
-    assert len(peers.readings) == 1
+    assert len(peers.load_updates) == 1
     peers.time = READING_TOLD_AGAIN_S * 1.1
     loads.tell_again()
-    assert peers.readings == [("i-0", RunnerLoad(1, 9_000, 0))] * 2
+    assert peers.load_updates == [("i-0", RunnerLoad(1, 9_000, 0))] * 2
     state.reading = 0.0
     loads.note_reading(state)
     peers.time *= 3
     loads.tell_again()
-    assert len(peers.readings) == 3
+    assert len(peers.load_updates) == 3
 
 
 def test_short_prompts_are_told_once_they_add_up():
@@ -54,7 +54,7 @@
     for _ in range(6):
         state.reading += step
         loads.note_reading(state)
-    assert len(peers.readings) == 2
+    assert len(peers.load_updates) == 2
 
 
 def test_what_others_tell_is_added_up_and_what_the_dead_told_is_not():
--- a/tests/router/test_contacts.py
+++ b/tests/router/test_peer_addresses.py
@@ -5,7 +5,11 @@
 import pytest
 
 from martenrun.platform import DIALECT
-from martenrun.router.contacts import STORED_CONTACTS, ContactDirectory, choose_contacts
+from martenrun.router.peer_addresses import (
+    MAX_STORED_ADDRESSES,
+    PeerAddressDirectory,
+    choose_addresses,
+)
 
 from .fakes import FakeStore
 from .gossip_world import GossipWorld
@@ -13,7 +17,7 @@
 SEEDS = ("s1", "s2", "s3")
 
 
-class ContactWorld(GossipWorld):
+class PeerAddressWorld(GossipWorld):
     """Routers with gossip and stored peer addresses; the first two alive are store readers."""
 
     def __init__(self, seed=1):
@@ -24,9 +28,9 @@
     def join(self, address):
         self.start(address, SEEDS)
         peers = self.routers[address]
-        self.contacts[address] = ContactDirectory(
+        self.contacts[address] = PeerAddressDirectory(
             self.loop,
-            ReadersStore(self, peers),
+            RouterStore(self, peers),
             DIALECT,
             peers,
             lambda: peers.own.reads_store,
@@ -41,13 +45,13 @@
         return peers.own.reads_store or len(others) < 2
 
     def sees(self, address):
-        return set(self.routers[address].named())
+        return set(self.routers[address].live_addresses())
 
     def stored(self):
         return self.store.objects["main"]["spec"]["addresses"]
 
 
-class ReadersStore:
+class RouterStore:
     """The store as one router uses it; a stopped router makes no calls."""
 
     def __init__(self, world, peers):
@@ -55,11 +59,11 @@
         self.peers = peers
 
     def call(self, call, timeout_s, on_answer):
-        if not self.peers.is_off:
+        if not self.peers.is_stopped:
             self.world.store.call(call, timeout_s, on_answer)
 
 
-def replaced(world, count=6):
+def replace_all_routers(world, count=6):
     """Replace all routers one by one, including the seeds, by others at new addresses."""
     first = [*SEEDS, *(f"a{number}" for number in range(count - len(SEEDS)))]
     for address in first:
@@ -77,20 +81,20 @@
 # 3004).
 @pytest.mark.parametrize("seed", range(6))
 def test_routers_that_start_after_all_seeds_died_find_the_others(seed):
-    world = ContactWorld(seed)
-    later = replaced(world)
+    world = PeerAddressWorld(seed)
+    later = replace_all_routers(world)
     world.run(4.0)
     for address in later:
         assert world.sees(address) == set(later) - {address}
 
 
 def test_two_groups_without_contact_merge():
-    world = ContactWorld()
+    world = PeerAddressWorld()
     for address in ("a1", "a2", "b1", "b2"):
         world.join(address)
     for group in (("a1", "a2"), ("b1", "b2")):
         one, other = (world.routers[address] for address in group)
-        one.introduce([other.own.address])
+        one.send_record([other.own.address])
     # The store is down while they start, so that neither group reads the other's addresses.
     world.store.is_silent = True
     world.run(3.0)
@@ -100,7 +104,7 @@
 
 
 def test_isolated_router_queries_the_store_at_a_low_rate():
-    world = ContactWorld()
+    world = PeerAddressWorld()
     world.join("a1")
     calls = []
     serve = world.store.call
@@ -111,16 +115,16 @@
 
 
 def test_one_router_writes_and_rarely():
-    world = ContactWorld()
+    world = PeerAddressWorld()
     for number in range(20):
         world.join(f"s{number + 1}")
     world.run(40.0)
-    assert len(world.stored()) == STORED_CONTACTS
+    assert len(world.stored()) == MAX_STORED_ADDRESSES
     assert len(world.store.writes) <= 8
 
 
 def test_directory_is_unresolved_until_the_store_or_another_router_responds():
-    world = ContactWorld()
+    world = PeerAddressWorld()
     world.store.is_silent = True
     world.join("a1")
     world.run(10.0)
@@ -131,7 +135,7 @@
 
 
 def test_directory_is_unresolved_while_stored_addresses_may_still_respond():
-    world = ContactWorld()
+    world = PeerAddressWorld()
     world.join("gone")
     world.run(5.0)
     world.stop("gone")
@@ -144,7 +148,7 @@
 
 
 def test_object_is_read_again_after_a_lost_response_to_a_write():
-    world = ContactWorld()
+    world = PeerAddressWorld()
     world.store.loses_answers = True
     world.join("a1")
     world.run(4.0)
@@ -155,14 +159,14 @@
 
 def test_addresses_of_live_routers_stay_stored():
     stored = ("a", "b", "gone")
-    assert choose_contacts(stored, ["c", "b", "a"], ()) == ("a", "b", "c")
-    assert choose_contacts(stored, ["c", "b", "a"], ("gone",)) == ("a", "b", "gone", "c")
+    assert choose_addresses(stored, ["c", "b", "a"], ()) == ("a", "b", "c")
+    assert choose_addresses(stored, ["c", "b", "a"], ("gone",)) == ("a", "b", "gone", "c")
     many = [f"n{number}" for number in range(30)]
-    assert len(choose_contacts((), many, ())) == STORED_CONTACTS
+    assert len(choose_addresses((), many, ())) == MAX_STORED_ADDRESSES
 
 
 def test_invalid_object_is_replaced():
-    world = ContactWorld()
+    world = PeerAddressWorld()
     metadata = {"name": "main", "revision": 1}
     world.store.revision = 1
     world.store.objects["main"] = {"metadata": metadata, "spec": {"addresses": 5}}
--- a/tests/router/test_peer_versions.py
+++ b/tests/router/test_peer_versions.py
@@ -5,19 +5,19 @@
 
 from martenrun.router.peer_messages import (
     Gossip,
-    LeaseNews,
-    ReadingNews,
-    RecordsWanted,
+    LeaseUpdate,
+    LoadUpdate,
+    RecordsRequest,
     RunnerLoad,
-    SilenceNews,
-    WeightsNews,
+    UnresponsiveRunnerUpdate,
+    WeightsUpdate,
     ZoneLoads,
     decode,
     encode,
 )
 from martenrun.router.quotas.messages import QuotaStage
 
-LAST_LANDING = {
+PREVIOUS_RELEASE = {
     "gossip": (
         "93a6676f7373697091dc0010ae31302e312e302e33303a373334300507ae31302e312e302e33303a"
         "38373832a27a31c2c3c2030481a3692d319302cd0384cd04b081a16d919202cd05dc28c3cb3ff800"
@@ -33,36 +33,36 @@
 """Datagrams as sent by the release before tenant rates were introduced."""
 
 
-def last(name):
-    return decode(bytes.fromhex(LAST_LANDING[name]))
+def decode_previous(name):
+    return decode(bytes.fromhex(PREVIOUS_RELEASE[name]))
 
 
 def test_records_of_the_previous_release_are_decoded_without_accounts():
-    message = last("gossip")
+    message = decode_previous("gossip")
     assert isinstance(message, Gossip)
     record = message.records[0]
-    assert (record.address, record.incarnation, record.beat) == ("10.1.0.30:7340", 5, 7)
+    assert (record.address, record.incarnation, record.heartbeat) == ("10.1.0.30:7340", 5, 7)
     assert record.loads == {"i-1": RunnerLoad(2, 900, 1200)}
     assert (record.weights, record.configurations) == ({"m": [(2, 1500)]}, [(7, 250)])
     assert (record.age_ms, record.reads_store, record.capacity) == (40, True, 1.5)
     assert record.quota_stage == QuotaStage.NONE
-    assert message.beats[0].beat == 9
+    assert message.heartbeats[0].heartbeat == 9
 
 
 @pytest.mark.parametrize(
-    ("name", "meant"),
+    ("name", "expected"),
     [
-        ("wanted", RecordsWanted("10.1.0.30:7340", [1, 2])),
-        ("load", WeightsNews(["i-1"], "m", 2, True)),
-        ("lease", LeaseNews("10.1.0.30:7340#5", 4, 9, 200)),
-        ("reading", ReadingNews("10.1.0.30:7340", 5, 8, "i-1", RunnerLoad(1, 2, 3))),
-        ("silence", SilenceNews("10.1.0.30:7340", "i-1")),
+        ("wanted", RecordsRequest("10.1.0.30:7340", [1, 2])),
+        ("load", WeightsUpdate(["i-1"], "m", 2, True)),
+        ("lease", LeaseUpdate("10.1.0.30:7340#5", 4, 9, 200)),
+        ("reading", LoadUpdate("10.1.0.30:7340", 5, 8, "i-1", RunnerLoad(1, 2, 3))),
+        ("silence", UnresponsiveRunnerUpdate("10.1.0.30:7340", "i-1")),
         ("zone", ZoneLoads({"z2": {"i-1": RunnerLoad(1, 2, 3)}}, True)),
     ],
 )
-def test_messages_of_the_previous_release_keep_their_meaning(name, meant):
-    assert last(name) == meant
-    assert encode(meant).hex() == LAST_LANDING[name]
+def test_messages_of_the_previous_release_keep_their_meaning(name, expected):
+    assert decode_previous(name) == expected
+    assert encode(expected).hex() == PREVIOUS_RELEASE[name]
 
 
 def test_message_of_a_later_release_raises_a_decode_error():
--- a/tests/router/test_quota_fleet.py
+++ b/tests/router/test_quota_fleet.py
@@ -102,9 +102,9 @@
     fleet = greedy(routers, limit)
     fleet.run(6.0)
     keeper = next(iter(fleet.gates.values()))._owners.owners("t")[0]
-    fleet.world.stand_still(keeper)
+    fleet.world.suspend(keeper)
     fleet.run(still_s)
-    fleet.world.go_on(keeper, still_s)
+    fleet.world.resume(keeper, still_s)
     fleet.run(20.0 - still_s)
     assert_bound_holds(fleet)
 
--- a/tests/router/test_relay.py
+++ b/tests/router/test_relay.py
@@ -4,11 +4,11 @@
 
 from martenrun.net.loop import Loop
 from martenrun.net.server import Server
-from martenrun.router.dataset_copy import RETURN_GRACE_S, CopyListener, DatasetCopy
+from martenrun.router.dataset_replica import RETURN_GRACE_S, DatasetReplica, ReplicaListener
 from martenrun.router.messages import Dataset, StoredObject
-from martenrun.router.relay import PackedChanges, RelaySource
+from martenrun.router.relay import EncodedChanges, RelayServer
 from martenrun.router.relay_follower import RelayFollower
-from martenrun.router.relay_messages import RelayedObject, packed, unpacked
+from martenrun.router.relay_messages import RelayedObject, decode_objects, encode_objects
 
 from .loopback import free_address, serve_until
 
@@ -17,53 +17,53 @@
     return None
 
 
-def copies():
-    listener = CopyListener(nothing, nothing, nothing)
-    return {Dataset.CONFIGURATION: DatasetCopy(Dataset.CONFIGURATION, listener)}
+def make_replicas():
+    listener = ReplicaListener(nothing, nothing, nothing)
+    return {Dataset.CONFIGURATION: DatasetReplica(Dataset.CONFIGURATION, listener)}
 
 
 class Pair:
     """A reader with its replicas, and its follower, on one event loop."""
 
-    def __init__(self, life=1):
+    def __init__(self, incarnation=1):
         self.loop = Loop()
         self.address = free_address()
-        self.read = copies()
+        self.source_replicas = make_replicas()
         self.may_relay = True
         self.has_lost_store = False
         self.reads_store = True
-        self.source = RelaySource(
+        self.relay = RelayServer(
             self.loop,
-            self.read,
-            life,
+            self.source_replicas,
+            incarnation,
             lambda: self.may_relay,
             lambda: self.has_lost_store,
             lambda: self.reads_store,
         )
-        self.server = Server(self.loop, self.address, self.source.serve)
-        self.followed = copies()
+        self.server = Server(self.loop, self.address, self.relay.serve)
+        self.followed_replicas = make_replicas()
         self.failed = []
-        self.taken = 0
+        self.applied = 0
         self.follower = RelayFollower(
             self.loop,
-            self.followed,
+            self.followed_replicas,
             lambda: self.address,
-            self._on_taken,
+            self._on_applied,
             lambda address, has_lost_store: self.failed.append(has_lost_store),
         )
 
-    def _on_taken(self):
-        self.taken += 1
+    def _on_applied(self):
+        self.applied += 1
 
     def put(self, name, revision, gone=False):
-        copy = self.read[Dataset.CONFIGURATION]
+        replica = self.source_replicas[Dataset.CONFIGURATION]
         changed = [] if gone else [StoredObject(name, revision, {"v": revision})]
-        copy.apply(changed, [name] if gone else [], revision, False, self.loop.now())
-        copy.confirm(self.loop.now())
-        self.source.copies_changed()
+        replica.apply(changed, [name] if gone else [], revision, False, self.loop.now())
+        replica.confirm(self.loop.now())
+        self.relay.respond_with_changes()
 
     def names(self):
-        return {item.name for item in self.followed[Dataset.CONFIGURATION].objects}
+        return {item.name for item in self.followed_replicas[Dataset.CONFIGURATION].objects}
 
 
 @pytest.fixture
@@ -83,29 +83,29 @@
 def test_delayed_response_is_sent_as_soon_as_there_is_a_change(pair):
     pair.put("a", 1)
     pair.follower.start()
-    serve_until(pair.loop, lambda: pair.taken == 1)
+    serve_until(pair.loop, lambda: pair.applied == 1)
     began = pair.loop.now()
     pair.put("b", 2)
     serve_until(pair.loop, lambda: pair.names() == {"a", "b"})
-    assert pair.taken == 2, "a response was sent before the change"
+    assert pair.applied == 2, "a response was sent before the change"
     assert pair.loop.now() >= began
 
 
 def test_relayed_age_is_never_too_low(pair):
     pair.put("a", 1)
     confirmed_at = pair.loop.now() - 2.0
-    pair.read[Dataset.CONFIGURATION].confirmed_at = confirmed_at
+    pair.source_replicas[Dataset.CONFIGURATION].confirmed_at = confirmed_at
     pair.follower.start()
-    serve_until(pair.loop, lambda: pair.taken >= 2)
-    assert pair.followed[Dataset.CONFIGURATION].confirmed_at <= confirmed_at
+    serve_until(pair.loop, lambda: pair.applied >= 2)
+    assert pair.followed_replicas[Dataset.CONFIGURATION].confirmed_at <= confirmed_at
 
 
 def test_outdated_reader_changes_nothing(pair):
     pair.put("a", 1)
-    followed = pair.followed[Dataset.CONFIGURATION]
+    followed = pair.followed_replicas[Dataset.CONFIGURATION]
     followed.replace([StoredObject("z", 9, {})], 9, False, 0.0)
     pair.follower.start()
-    serve_until(pair.loop, lambda: pair.taken == 1)
+    serve_until(pair.loop, lambda: pair.applied == 1)
     assert pair.names() == {"z"}
     assert followed.confirmed_at is None
 
@@ -113,10 +113,10 @@
 def test_reader_that_loses_the_store_refuses_its_followers_at_once(pair):
     pair.put("a", 1)
     pair.follower.start()
-    serve_until(pair.loop, lambda: pair.taken == 1)
+    serve_until(pair.loop, lambda: pair.applied == 1)
     pair.may_relay = False
     pair.has_lost_store = True
-    pair.source.drop_held()
+    pair.relay.refuse_pending()
     serve_until(pair.loop, lambda: pair.failed)
     assert pair.failed == [True]
 
@@ -139,18 +139,18 @@
 def test_router_knows_whether_it_follows_a_reader(pair):
     pair.put("a", 1)
     pair.follower.start()
-    serve_until(pair.loop, lambda: pair.taken == 1)
+    serve_until(pair.loop, lambda: pair.applied == 1)
     assert pair.follower.follows_reader()
     pair.reads_store = False
     pair.put("b", 2)
-    serve_until(pair.loop, lambda: pair.taken == 2)
+    serve_until(pair.loop, lambda: pair.applied == 2)
     assert not pair.follower.follows_reader()
     pair.reads_store = True
     pair.put("c", 3)
-    serve_until(pair.loop, lambda: pair.taken == 3)
+    serve_until(pair.loop, lambda: pair.applied == 3)
     assert pair.follower.follows_reader()
     pair.may_relay = False
-    pair.source.drop_held()
+    pair.relay.refuse_pending()
     serve_until(pair.loop, lambda: pair.failed)
     assert not pair.follower.follows_reader()
 
@@ -158,9 +158,9 @@
 def test_sequence_numbers_of_another_incarnation_are_ignored(pair):
     pair.put("a", 1)
     pair.follower.start()
-    serve_until(pair.loop, lambda: pair.taken == 1)
-    pair.source._life = 2
-    pair.read[Dataset.CONFIGURATION]._changes.clear()
+    serve_until(pair.loop, lambda: pair.applied == 1)
+    pair.relay._incarnation = 2
+    pair.source_replicas[Dataset.CONFIGURATION]._changes.clear()
     pair.put("b", 2)
     serve_until(pair.loop, lambda: pair.names() == {"a", "b"})
 
@@ -171,11 +171,14 @@
 def test_a_follower_drops_what_its_reader_keeps_for_the_time_of_grace_only(pair):
     pair.put("a", 1)
     pair.put("b", 2)
-    reader, follower = pair.read[Dataset.CONFIGURATION], pair.followed[Dataset.CONFIGURATION]
+    reader, follower = (
+        pair.source_replicas[Dataset.CONFIGURATION],
+        pair.followed_replicas[Dataset.CONFIGURATION],
+    )
     pair.follower.start()
     serve_until(pair.loop, lambda: pair.names() == {"a", "b"})
     reader.apply([], ["a"], 3, True, pair.loop.now())
-    pair.source.copies_changed()
+    pair.relay.respond_with_changes()
     serve_until(pair.loop, lambda: follower.revision == 3)
     pair.follower.stop()
     follower.drop_missing(pair.loop.now() + RETURN_GRACE_S / 2)
@@ -187,36 +190,38 @@
 @pytest.mark.parametrize("count", [0, 1, 2_000])
 def test_encoded_objects_are_decoded_unchanged(count):
     objects = [RelayedObject(f"i-{n}", n + 1, {"service": "s", "n": n}) for n in range(count)]
-    assert unpacked(packed(objects)) == objects
-    assert count < 2_000 or len(packed(objects)) < 10 * count
+    assert decode_objects(encode_objects(objects)) == objects
+    assert count < 2_000 or len(encode_objects(objects)) < 10 * count
 
 
 def test_changes_for_many_followers_are_encoded_once():
-    copy = DatasetCopy(Dataset.RUNNERS, CopyListener(nothing, nothing, nothing))
-    copy.replace([StoredObject("a", 1, {})], 1, False, 100.0)
-    changes = PackedChanges(copy)
+    replica = DatasetReplica(Dataset.RUNNERS, ReplicaListener(nothing, nothing, nothing))
+    replica.replace([StoredObject("a", 1, {})], 1, False, 100.0)
+    changes = EncodedChanges(replica)
     first = changes.after(None, 100.0)
     assert changes.after(None, 101.0)[0] is first[0]
-    copy.apply([StoredObject("b", 2, {})], [], 2, False, 102.0)
-    since_first = changes.after(1, 102.0)
-    assert [item.name for item in unpacked(since_first[0])] == ["b"] and not since_first[1]
-    assert len(unpacked(changes.after(None, 102.0)[0])) == 2
+    replica.apply([StoredObject("b", 2, {})], [], 2, False, 102.0)
+    changes_since_first = changes.after(1, 102.0)
+    assert [item.name for item in decode_objects(changes_since_first[0])] == [
+        "b"
+    ] and not changes_since_first[1]
+    assert len(decode_objects(changes.after(None, 102.0)[0])) == 2
 
 
 def test_missing_time_of_an_object_is_computed_for_each_response():
-    copy = DatasetCopy(Dataset.RUNNERS, CopyListener(nothing, nothing, nothing))
-    copy.replace([StoredObject("a", 1, {})], 1, False, 100.0)
-    copy.replace([], 2, True, 101.0)
-    changes = PackedChanges(copy)
-    ages = [unpacked(changes.after(None, now)[0])[0].missing_ms for now in (101.5, 102.0)]
+    replica = DatasetReplica(Dataset.RUNNERS, ReplicaListener(nothing, nothing, nothing))
+    replica.replace([StoredObject("a", 1, {})], 1, False, 100.0)
+    replica.replace([], 2, True, 101.0)
+    changes = EncodedChanges(replica)
+    ages = [decode_objects(changes.after(None, now)[0])[0].missing_ms for now in (101.5, 102.0)]
     assert ages == [500, 1_000]
 
 
 @pytest.mark.parametrize("body", [b"", b"\x01broken", b"\x00\xc1", b"\x01" + b"\x78\x9c"])
 def test_response_that_cannot_be_decompressed_counts_as_failed(body, monkeypatch):
-    monkeypatch.setattr("martenrun.router.relay.packed", lambda _objects: body)
+    monkeypatch.setattr("martenrun.router.relay.encode_objects", lambda _objects: body)
     pair = Pair()
     pair.put("a", 1)
     pair.follower.start()
     serve_until(pair.loop, lambda: pair.failed)
-    assert not pair.taken and not pair.followed[Dataset.CONFIGURATION].is_known
+    assert not pair.applied and not pair.followed_replicas[Dataset.CONFIGURATION].is_loaded
--- a/tests/router/test_runner_doubts.py
+++ b/tests/router/test_runner_doubts.py
@@ -6,7 +6,7 @@
 
 import random
 
-from martenrun.router.peer_messages import SilenceNews
+from martenrun.router.peer_messages import UnresponsiveRunnerUpdate
 from martenrun.router.runner_doubts import (
     DOUBT_MEMORY_S,
     FIRST_PASSED_OVER_S,
@@ -107,8 +107,8 @@
     other.note_bytes(1.5)
     assert newly_silent(world, 1.1 + SILENT_AFTER_S) == ["i-0"]
     assert newly_silent(world, 1.2 + SILENT_AFTER_S) == []
-    take_silence(world, SilenceNews("a", "i-0"), 2.0)
-    take_silence(world, SilenceNews("b", "i-0"), 2.0)
+    take_silence(world, UnresponsiveRunnerUpdate("a", "i-0"), 2.0)
+    take_silence(world, UnresponsiveRunnerUpdate("b", "i-0"), 2.0)
     assert silent.is_avoided(2.1) and not other.is_avoided(2.1)
     silent.note_bytes(2.2)
     assert not silent.is_avoided(2.3)
--- a/tests/router/test_runner_limit_fleet.py
+++ b/tests/router/test_runner_limit_fleet.py
@@ -97,10 +97,10 @@
     fleet.run(KNOWN_WITHIN_S + 2)
     paused = fleet.rng.sample(fleet.addresses, routers // 2)
     for address in paused:
-        fleet.world.stand_still(address)
+        fleet.world.suspend(address)
     fleet.run(5.0)
     for address in paused:
-        fleet.world.go_on(address, 5.0)
+        fleet.world.resume(address, 5.0)
     fleet.run(10)
     assert_bound_holds(fleet)
 
--- a/tests/router/test_runner_lives.py
+++ b/tests/router/test_runner_lives.py
@@ -3,13 +3,13 @@
 import pytest
 
 from martenrun.platform import DIALECT
-from martenrun.router.knowledge import RunnerDirectory
 from martenrun.router.messages import RouteKind, StoredObject
-from martenrun.router.peer_messages import SilenceNews, WeightsNews
+from martenrun.router.peer_messages import UnresponsiveRunnerUpdate, WeightsUpdate
 from martenrun.router.runner_life import life_key
 from martenrun.router.runner_pool import RunnerPool
 from martenrun.router.seen_parts import SeenParts
 from martenrun.router.silence import take_silence
+from martenrun.router.store_state import RunnerDirectory
 from martenrun.router.weights_news import take_weights_news
 
 from .builders import route, state
@@ -63,7 +63,9 @@
     assert after is not before
     assert (after.load, after.backlog_tokens, after.weights_version("m")) == (0, 0.0, 2)
     assert not after.is_avoided(100.0)
-    assert listed.runners.has_ended(before.runner) and not listed.runners.has_ended(after.runner)
+    assert listed.runners.is_replaced(before.runner) and not listed.runners.is_replaced(
+        after.runner
+    )
 
 
 def test_late_news_of_the_earlier_start_changes_nothing():
@@ -71,8 +73,8 @@
     before = listed.put(entry())
     after = listed.put(entry(BORN + 1))
     for instance in (before.runner.instance, "i-1"):
-        take_silence(listed, SilenceNews("10.0.0.2:7", instance), 100.0)
-        take_weights_news(listed, WeightsNews([instance], "m", 9, True))
+        take_silence(listed, UnresponsiveRunnerUpdate("10.0.0.2:7", instance), 100.0)
+        take_weights_news(listed, WeightsUpdate([instance], "m", 9, True))
     assert after.weights_version("m") == 2 and not after.is_avoided(100.0)
 
 
--- a/tests/router/test_store_client.py
+++ b/tests/router/test_store_client.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from martenrun.router.store_client import LONGEST_ANSWER_S, SILENCE_S, CallReader
+from martenrun.router.store_client import MAX_RESPONSE_S, MAX_STALL_S, ResponseReader
 
 from .fakes import FakeLoop
 
@@ -12,16 +12,16 @@
 class Call:
     """One call whose response arrives in parts."""
 
-    def __init__(self, longest_s=None):
+    def __init__(self, max_response_s=None):
         self.loop = FakeLoop()
         self.answers = []
-        self.heard = 0
-        self.reader = CallReader(
-            self.loop, TIMEOUT_S, self.answers.append, self._hear, longest_s=longest_s
+        self.parts = 0
+        self.reader = ResponseReader(
+            self.loop, TIMEOUT_S, self.answers.append, self._on_part, max_response_s=max_response_s
         )
 
-    def _hear(self):
-        self.heard += 1
+    def _on_part(self):
+        self.parts += 1
 
     def run(self, seconds):
         self.loop.run_until(self.loop.now() + seconds)
@@ -37,10 +37,10 @@
 def test_response_that_keeps_arriving_is_not_given_up():
     call = Call()
     call.run(0.8)
-    call.arrive(10, SILENCE_S * 0.9 / 2)
+    call.arrive(10, MAX_STALL_S * 0.9 / 2)
     call.reader.on_complete()
     assert [answer.body for answer in call.answers] == [b"x" * 10]
-    assert call.heard == 11
+    assert call.parts == 11
 
 
 def test_parts_of_a_refusal_are_not_reported():
@@ -48,7 +48,7 @@
     call.reader.on_head(503, [], None)
     call.reader.on_body(b"x")
     call.reader.on_complete()
-    assert call.heard == 0 and call.answers[0].status == 503
+    assert call.parts == 0 and call.answers[0].status == 503
 
 
 def test_call_without_a_response_times_out():
@@ -60,15 +60,15 @@
 def test_stalled_response_is_given_up():
     call = Call()
     call.arrive(3, 0.4)
-    call.run(SILENCE_S + 0.01)
+    call.run(MAX_STALL_S + 0.01)
     assert call.answers == [None]
 
 
 @pytest.mark.parametrize(
-    ("longest_s", "expected"), [(None, TIMEOUT_S + LONGEST_ANSWER_S), (0.9, 0.9)]
+    ("max_response_s", "expected"), [(None, TIMEOUT_S + MAX_RESPONSE_S), (0.9, 0.9)]
 )
-def test_endless_response_is_given_up(longest_s, expected):
-    call = Call(longest_s)
+def test_endless_response_is_given_up(max_response_s, expected):
+    call = Call(max_response_s)
     began_at = call.loop.now()
     call.reader.on_head(200, [], None)
     while not call.answers:
--- /dev/null
+++ b/tests/router/test_store_sync.py
@@ -0,0 +1,99 @@
+"""A router gets the store's state whichever routers it considers readers."""
+
+from martenrun.net.loop import Loop
+from martenrun.net.server import Server
+from martenrun.platform import DIALECT
+from martenrun.router.dataset_replica import DatasetReplica, ReplicaListener
+from martenrun.router.messages import Dataset
+from martenrun.router.relay import RelayServer
+from martenrun.router.relay_follower import RelayFollower
+from martenrun.router.store_readers import Candidate, select_readers
+from martenrun.router.store_sync import StoreSync, StoreSyncParts
+
+from .loopback import free_address, serve_until
+from .test_peers import record
+
+
+class KnownPeers:
+    """The routers that one router knows; ``own`` is its own record."""
+
+    def __init__(self, own, others):
+        self.own = own
+        self.others = others
+
+    def live(self):
+        return self.others
+
+    def broadcast_record(self):
+        return None
+
+
+class SilentStore:
+    """Counts the calls and does not respond."""
+
+    def __init__(self):
+        self.calls = 0
+
+    def call(self, _call, _timeout_s, _on_answer, *_more):
+        self.calls += 1
+
+
+def loaded_replicas(loop):
+    listener = ReplicaListener(lambda _: None, lambda _: None, lambda: None)
+    replicas = {dataset: DatasetReplica(dataset, listener) for dataset in Dataset}
+    del replicas[Dataset.LEASES]
+    for replica in replicas.values():
+        replica.replace([], 1, False, loop.now())
+        replica.confirm(loop.now())
+    return replicas
+
+
+def start_sync(loop, own, others, replicas):
+    """Return the keeper of a router that follows, serving at its address, and its store."""
+    store = SilentStore()
+    peers = KnownPeers(record(own), [record(address) for address in others])
+    sync = StoreSync(StoreSyncParts(loop, store, DIALECT, replicas, peers), lambda: None)
+    Server(loop, own, sync.relay.serve)
+    for follower in sync._followers:
+        follower.stop()
+    sync._check()
+    return sync, store
+
+
+# Guards against store calls of routers that query a follower, because their tables differ briefly.
+def test_follower_of_a_reader_relays_to_its_own_followers():
+    loop = Loop()
+    addresses = [free_address() for _ in range(3)]
+    candidates = [Candidate(address, True) for address in addresses]
+    readers = select_readers(candidates)
+    own = next(address for address in addresses if address not in readers)
+    read_replicas = loaded_replicas(loop)
+    for address in readers:
+        reader = RelayServer(loop, read_replicas, 1, lambda: True, lambda: False, lambda: True)
+        Server(loop, address, reader.serve)
+    sync, _ = start_sync(loop, own, readers, loaded_replicas(loop))
+    serve_until(loop, sync._relay_follower.follows_reader)
+    followed_replicas = loaded_replicas(loop)
+    applied = []
+    follower = RelayFollower(
+        loop, followed_replicas, lambda: own, lambda: applied.append(True), lambda *_: None
+    )
+    follower.start()
+    serve_until(loop, lambda: applied)
+    assert not follower.follows_reader()
+
+
+# Guards against a router without state because its table differs and it queries no reader
+# (hunt-2cb3-3).
+def test_router_reads_the_store_if_the_queried_routers_do_not():
+    loop = Loop()
+    addresses = [free_address() for _ in range(3)]
+    readers = select_readers([Candidate(address, True) for address in addresses])
+    own = next(address for address in addresses if address not in readers)
+    for address in readers:
+        other = RelayServer(
+            loop, loaded_replicas(loop), 1, lambda: False, lambda: False, lambda: False
+        )
+        Server(loop, address, other.serve)
+    _, store = start_sync(loop, own, readers, loaded_replicas(loop))
+    serve_until(loop, lambda: store.calls)
--- a/tests/router/test_suspects.py
+++ b/tests/router/test_suspects.py
@@ -8,7 +8,7 @@
 from martenrun.router.blame_messages import BlameNews
 from martenrun.router.blame_store import FAILED_PAUSE_S, PAUSE_S, RENEWED_S, BlameStore
 from martenrun.router.blame_table import DEADLY_AFTER
-from martenrun.router.dataset_copy import CopyListener, DatasetCopy
+from martenrun.router.dataset_replica import DatasetReplica, ReplicaListener
 from martenrun.router.fingerprint import fingerprint
 from martenrun.router.messages import Dataset, StoredObject, UnreadableError
 from martenrun.router.peer_messages import decode, encode
@@ -134,8 +134,8 @@
         self.loop = FakeLoop()
         self.store = FakeStore(self.loop)
         self.known = suspects(self.loop)
-        self.copy = DatasetCopy(
-            Dataset.BLAME, CopyListener(self._put, lambda _name: None, lambda: None)
+        self.copy = DatasetReplica(
+            Dataset.BLAME, ReplicaListener(self._put, lambda _name: None, lambda: None)
         )
         self.reads = True
         self.writer = BlameStore(
--- a/tests/router/test_suspension.py
+++ b/tests/router/test_suspension.py
@@ -8,10 +8,10 @@
 from martenrun.net.pacing import Pacer
 from martenrun.net.server import Server
 from martenrun.platform import DIALECT
-from martenrun.router.knowledge import ConfigurationKnowledge
 from martenrun.router.lease import Lease
 from martenrun.router.retry_budget import RetryBudget
 from martenrun.router.runner_pool import RunnerPool
+from martenrun.router.store_state import ConfigurationState
 
 from .builders import bounds, configuration, route, runner
 from .fakes import FakeLoop, FakeStore
@@ -92,8 +92,8 @@
 
 
 def test_a_configuration_is_older_by_the_suspension():
-    knowledge = ConfigurationKnowledge()
-    knowledge.take(configuration(1))
+    knowledge = ConfigurationState()
+    knowledge.put(configuration(1))
     knowledge.confirm(100.0)
     assert knowledge.age_s(100.0 + SUSPENDED_S) == SUSPENDED_S
 
--- a/tests/router/test_weights_roll.py
+++ b/tests/router/test_weights_roll.py
@@ -25,7 +25,7 @@
     states = [RunnerState(runner(f"i-{n}")) for n in range(RUNNERS)]
     world = world_of(states)
     told = []
-    roller = WeightsRoller(world, SimpleNamespace(tell_all=told.append), None)
+    roller = WeightsRoller(world, SimpleNamespace(broadcast=told.append), None)
     for state in states:
         roller._tell(state, "m", 2, is_loaded=False)
     assert told == [] and all(state.is_avoided(world.loop.now()) for state in states)
--- a/tests/router/test_zone_loads.py
+++ b/tests/router/test_zone_loads.py
@@ -99,12 +99,12 @@
     loads.refresh()
     assert state.backlog_tokens == 9_100
     loads.tell_sums()
-    passed_on = [news for addresses, news in peers.sums if addresses == ["near"]]
-    assert passed_on == [ZoneLoads({"y": {"i-0": RunnerLoad(2, 9_000, 0)}}, is_passed_on=True)]
-    peers.sums.clear()
+    passed_on = [news for addresses, news in peers.zone_loads if addresses == ["near"]]
+    assert passed_on == [ZoneLoads({"y": {"i-0": RunnerLoad(2, 9_000, 0)}}, is_forwarded=True)]
+    peers.zone_loads.clear()
     loads.take_sums(passed_on[0])
     loads.tell_sums()
-    assert [addresses for addresses, _ in peers.sums if addresses == ["near"]] == []
+    assert [addresses for addresses, _ in peers.zone_loads if addresses == ["near"]] == []
 
 
 class LoadedFleet:
@@ -128,8 +128,8 @@
         loads = LoadExchange(pool, peers)
         peers._refresh = lambda own: setattr(own, "loads", loads.own_loads())
         peers._on_records = loads.take_records
-        peers._on_reading = loads.take_reading
-        peers._on_sums = loads.take_sums
+        peers._on_load_update = loads.take_reading
+        peers._on_zone_loads = loads.take_sums
         self.exchanges[address] = loads
         self.pools[address] = pool
         self._keep_telling(loads)
--- a/tests/router/unguarded_router.py
+++ b/tests/router/unguarded_router.py
@@ -27,7 +27,7 @@
 
 def send_to_leaving_runners():
     """Take in neither that a runner leaves nor that its entry is gone."""
-    from martenrun.router.knowledge import RunnerDirectory
+    from martenrun.router.store_state import RunnerDirectory
 
     def put(self, runner):
         if not runner.is_draining:
@@ -39,7 +39,7 @@
 
 def keep_unreadable_entries():
     """Go on using a runner whose entry can no longer be read, or is gone."""
-    from martenrun.router.knowledge import RunnerDirectory
+    from martenrun.router.store_state import RunnerDirectory
 
     RunnerDirectory.remove = lambda self, name: None
 
