--- a/src/martenrun/router/store_sync.py
+++ b/src/martenrun/router/store_sync.py
@@ -55,7 +55,7 @@
 
 @attrs.frozen
 class StoreSyncParts:
-    """Collaborators of a keeper.
+    """Collaborators of :class:`StoreSync`.
 
     Attributes:
         seeds: addresses of routers to query while no other one is known.
--- a/tests/router/blame_fleet.py
+++ b/tests/router/blame_fleet.py
@@ -45,7 +45,7 @@
             super().serve(call, on_answer)
         elif call.method == b"GET" and b"watch" not in call.target:
             items = [] if self.kept is None else [self.kept]
-            self._answer(on_answer, 200, {"items": items, "more": False, "at": self.revision})
+            self._respond(on_answer, 200, {"items": items, "more": False, "at": self.revision})
         elif call.method == b"GET":
             super().serve(call, on_answer)
         else:
@@ -55,13 +55,13 @@
         wanted = body["metadata"].get("revision")
         revision = None if self.kept is None else self.kept["metadata"]["revision"]
         if (creates and revision is not None) or (not creates and wanted != revision):
-            self._answer(on_answer, 409, self.kept)
+            self._respond(on_answer, 409, self.kept)
             return
         self.writes += 1
         metadata = {"name": "main", "revision": self.revision + 1}
         self.kept = {"metadata": metadata, "spec": body["spec"]}
         self.change(KIND)
-        self._answer(on_answer, 200, self.kept)
+        self._respond(on_answer, 200, self.kept)
 
     def _changed_item(self, kind):
         return self.kept if kind == KIND else super()._changed_item(kind)
--- a/tests/router/fakes.py
+++ b/tests/router/fakes.py
@@ -67,22 +67,22 @@
         path = call.target.decode().partition("?")[0]
         name = path.rsplit("/", 1)[-1]
         if call.method == b"GET":
-            return self._answer(200, name) if name in self.objects else HttpAnswer(404, [], b"")
+            return self._respond(200, name) if name in self.objects else HttpAnswer(404, [], b"")
         body = _DECODE(call.body)
         name = body["metadata"]["name"]
         known = self.objects.get(name)
         if call.method == b"POST" and known is not None:
-            return self._answer(409, name)
+            return self._respond(409, name)
         if call.method == b"PUT" and known["metadata"]["revision"] != body["metadata"]["revision"]:
-            return self._answer(409, name)
+            return self._respond(409, name)
         if known is None or known["spec"] != body["spec"]:
             self.revision += 1
             metadata = {"name": name, "revision": self.revision}
             self.objects[name] = {"metadata": metadata, "spec": body["spec"]}
             self.writes.append((self.loop.now(), body["spec"]))
-        return self._answer(200, name)
+        return self._respond(200, name)
 
-    def _answer(self, status, name):
+    def _respond(self, status, name):
         return HttpAnswer(status, [], _ENCODE(self.objects[name]))
 
 
--- a/tests/router/fleet_world.py
+++ b/tests/router/fleet_world.py
@@ -39,10 +39,10 @@
         """Change one object of a kind, which completes the watches of that kind."""
         self.revision += 1
         self._changed_at[kind] = self.revision
-        due = [answer for of, answer in self._watches if of == kind]
+        due = [respond for of, respond in self._watches if of == kind]
         self._watches = [item for item in self._watches if item[0] != kind]
-        for answer in due:
-            answer()
+        for respond in due:
+            respond()
 
     def serve(self, call, on_response):
         """Respond to one call."""
@@ -50,30 +50,30 @@
         kind = url.path.rsplit("/", 1)[-1]
         query = parse_qs(url.query)
         if self.is_down:
-            self._answer(on_response, 503, {})
+            self._respond(on_response, 503, {})
         elif "watch" not in query:
             names = [f"i-{n}" for n in range(RUNNERS)] if kind == "servers" else ["main"]
             items = [self._item(name) for name in names]
-            self._answer(on_response, 200, {"items": items, "more": False, "at": self.revision})
+            self._respond(on_response, 200, {"items": items, "more": False, "at": self.revision})
         else:
             self._watch(kind, int(query["watch"][0]), int(query["wait_ms"][0]) / 1000, on_response)
 
     def _watch(self, kind, after, wait_s, on_response):
         has_responded = []
 
-        def answer():
+        def respond():
             if has_responded:
                 return
             has_responded.append(True)
             has_changed = self._changed_at.get(kind, 0) > after
             events = [{"object": self._changed_item(kind), "gone": False}] if has_changed else []
-            self._answer(on_response, 200, {"events": events, "at": self.revision})
+            self._respond(on_response, 200, {"events": events, "at": self.revision})
 
         if self._changed_at.get(kind, 0) > after:
-            answer()
+            respond()
         else:
-            self._watches.append((kind, answer))
-            self.loop.call_later(wait_s, answer)
+            self._watches.append((kind, respond))
+            self.loop.call_later(wait_s, respond)
 
     def _changed_item(self, kind):
         return self._item("i-0" if kind == "servers" else "main")
@@ -82,9 +82,9 @@
         spec = self.configuration if name == "main" else {}
         return {"metadata": {"name": name, "revision": self.revision}, "spec": spec}
 
-    def _answer(self, on_response, status, body):
-        answer = HttpAnswer(status, [], msgspec.json.encode(body))
-        self.loop.call_later(STORE_DELAY_S, lambda: on_response(answer))
+    def _respond(self, on_response, status, body):
+        response = HttpAnswer(status, [], msgspec.json.encode(body))
+        self.loop.call_later(STORE_DELAY_S, lambda: on_response(response))
 
 
 class StoreClient:
@@ -103,14 +103,14 @@
 
 def first_response_only(on_response):
     """Return a callback that passes on the first response only."""
-    answers = []
+    responses = []
 
-    def answer(given):
-        if not answers:
-            answers.append(given)
-            on_response(given)
+    def forward(response):
+        if not responses:
+            responses.append(response)
+            on_response(response)
 
-    return answer
+    return forward
 
 
 class FakeExchange:
@@ -121,12 +121,12 @@
         self.is_over = False
         self.on_gone = None
         self._fleet = fleet
-        self._on_answer = on_response
+        self._on_response = on_response
 
     def respond(self, status, headers, body=b""):
         self.is_over = True
-        answer = HttpAnswer(status, headers, body)
-        self._fleet.loop.call_later(LINK_DELAY_S, lambda: self._on_answer(answer))
+        response = HttpAnswer(status, headers, body)
+        self._fleet.loop.call_later(LINK_DELAY_S, lambda: self._on_response(response))
 
 
 class FakeRequest:
--- a/tests/router/link_world.py
+++ b/tests/router/link_world.py
@@ -85,11 +85,11 @@
 class Flow:
     """One response in transit to the reader of a call."""
 
-    def __init__(self, answer, reader, receiver):
-        self._answer = answer
+    def __init__(self, response, reader, receiver):
+        self._response = response
         self._reader = reader
         self.receiver = receiver
-        self._rest = memoryview(answer.body or b" ")
+        self._rest = memoryview(response.body or b" ")
         self._left = len(self._rest)
         self._has_begun = False
         self.is_cut = False
@@ -107,8 +107,8 @@
             return
         if not self._has_begun:
             self._has_begun = True
-            self._reader.on_head(self._answer.status, self._answer.headers, None)
-        if self._answer.body:
+            self._reader.on_head(self._response.status, self._response.headers, None)
+        if self._response.body:
             self._reader.on_body(bytes(part))
         self._left -= len(part)
         if not self._left:
@@ -160,8 +160,8 @@
         reader = ResponseReader(loop, timeout_s, on_response, *more)
         reader.connection = connection
 
-        def reply(answer):
-            flow = connection.flow = Flow(answer, reader, self._fleet.receivers[self._requester])
+        def reply(response):
+            flow = connection.flow = Flow(response, reader, self._fleet.receivers[self._requester])
             self._sender().add(flow)
 
         loop.call_later(LINK_DELAY_S, lambda: self._serve(call, connection, reply))
--- a/tests/router/test_broken_entries.py
+++ b/tests/router/test_broken_entries.py
@@ -174,9 +174,7 @@
 INVALID_BODIES = [b"", b"no json", b"\xff\xfe", b"7", b"null", b"{}", b'{"items": 7, "at": 3}']
 
 
-class AnsweringStore:
-    """Answers each call with the next body."""
-
+class ScriptedStore:
     """Responds to each call with the next body."""
 
     def __init__(self, loop, bodies):
@@ -184,13 +182,13 @@
         self._bodies = list(bodies)
         self.calls = 0
 
-    def call(self, call, timeout_s, on_answer, *_more):
+    def call(self, call, timeout_s, on_response, *_more):
         self.calls += 1
         body = self._bodies.pop(0) if self._bodies else None
         if body is None:
-            self._loop.call_later(timeout_s, lambda: on_answer(None))
+            self._loop.call_later(timeout_s, lambda: on_response(None))
         else:
-            self._loop.call_later(0.01, lambda: on_answer(HttpAnswer(200, [], body)))
+            self._loop.call_later(0.01, lambda: on_response(HttpAnswer(200, [], body)))
 
 
 def follow(bodies, seconds=3.0):
@@ -199,7 +197,7 @@
     replica = DatasetReplica(
         Dataset.RUNNERS, ReplicaListener(lambda _: None, lambda _: None, lambda: None)
     )
-    store = AnsweringStore(loop, bodies)
+    store = ScriptedStore(loop, bodies)
     follower = StoreFollower(loop, store, DIALECT, FollowSettings(0.5), replica, lambda: None)
     follower.start()
     loop.run_until(loop.now() + seconds)
--- a/tests/router/test_dataset_copy.py
+++ b/tests/router/test_dataset_copy.py
@@ -80,12 +80,12 @@
 def test_follower_that_requests_changes_has_the_same_objects(steps):
     replica, follower = make_replica(), make_replica()
     number = 0
-    for revision, (name, is_gone, asks) in enumerate(steps, start=1):
+    for revision, (name, is_gone, requests_changes) in enumerate(steps, start=1):
         if is_gone:
             replica.apply([], [name], revision, False, 0.0)
         else:
             replica.apply([stored(name, revision)], [], revision, False, 0.0)
-        if not asks:
+        if not requests_changes:
             continue
         for change in replica.changes_after(number):
             put = [] if change.stored is None else [change.stored]
--- a/tests/router/test_denials.py
+++ b/tests/router/test_denials.py
@@ -44,10 +44,10 @@
     def __init__(self, loop):
         self.loop = loop
         self.is_over = False
-        self.answers = []
+        self.responses = []
 
     def respond(self, status, headers):
-        self.answers.append((self.loop.now(), status))
+        self.responses.append((self.loop.now(), status))
         self.is_over = True
 
 
@@ -77,7 +77,7 @@
         self.run(MAX_DENIAL_AGE_S + 0.1)
         first = self.send()
         self.run(DENIAL_WAIT_S + CONFIRM_TIMEOUT_S + 0.01)
-        assert [status for _, status in first.answers] == [503]
+        assert [status for _, status in first.responses] == [503]
 
 
 # Guards against denials that each wait for a store that does not respond.
@@ -86,7 +86,7 @@
     world.fail_one_read()
     later = world.send()
     world.run(DENIAL_WAIT_S + 0.01)
-    assert [status for _, status in later.answers] == [503]
+    assert [status for _, status in later.responses] == [503]
 
 
 # Guards against one store call per denial.
@@ -97,7 +97,7 @@
     world.run(DENIAL_WAIT_S + 0.01)
     assert world.store.reads == 1
     world.run(CONFIRM_TIMEOUT_S)
-    assert [len(exchange.answers) for exchange in sent] == [1] * 20
+    assert [len(exchange.responses) for exchange in sent] == [1] * 20
 
 
 def test_denials_are_decided_after_a_background_read_succeeded():
@@ -108,7 +108,7 @@
     world.run(DENIAL_WAIT_S + 0.02)
     decided = world.send()
     world.run(DENIAL_WAIT_S + 0.02)
-    assert [status for _, status in refused.answers + decided.answers] == [503, 404]
+    assert [status for _, status in refused.responses + decided.responses] == [503, 404]
 
 
 def test_failed_read_is_forgotten_after_the_configuration_was_confirmed():
@@ -119,9 +119,9 @@
     world.run(MAX_DENIAL_AGE_S + 0.1)
     waits = world.send()
     world.run(DENIAL_WAIT_S + 0.02)
-    assert not waits.answers
+    assert not waits.responses
     world.run(CONFIRM_TIMEOUT_S)
-    assert [status for _, status in waits.answers] == [503]
+    assert [status for _, status in waits.responses] == [503]
 
 
 # Guards against a ready router that does not respond on unknown routes while the store is
--- a/tests/router/test_peer_addresses.py
+++ b/tests/router/test_peer_addresses.py
@@ -23,12 +23,12 @@
     def __init__(self, seed=1):
         super().__init__(seed)
         self.store = FakeStore(self.loop)
-        self.contacts = {}
+        self.directories = {}
 
     def join(self, address):
         self.start(address, SEEDS)
         peers = self.routers[address]
-        self.contacts[address] = PeerAddressDirectory(
+        self.directories[address] = PeerAddressDirectory(
             self.loop,
             RouterStore(self, peers),
             DIALECT,
@@ -36,10 +36,10 @@
             lambda: peers.own.reads_store,
             random.Random(address),
         )
-        peers._refresh = lambda own: setattr(own, "reads_store", self.reads(peers))
-        self.contacts[address].start()
+        peers._refresh = lambda own: setattr(own, "reads_store", self.is_reader(peers))
+        self.directories[address].start()
 
-    def reads(self, peers):
+    def is_reader(self, peers):
         """Return whether a router reads the store: it knows fewer than two other readers."""
         others = [record for record in peers.live() if record.reads_store]
         return peers.own.reads_store or len(others) < 2
@@ -128,10 +128,10 @@
     world.store.is_silent = True
     world.join("a1")
     world.run(10.0)
-    assert not world.contacts["a1"].is_resolved
+    assert not world.directories["a1"].is_resolved
     world.store.is_silent = False
     world.run(5.0)
-    assert world.contacts["a1"].is_resolved
+    assert world.directories["a1"].is_resolved
 
 
 def test_directory_is_unresolved_while_stored_addresses_may_still_respond():
@@ -141,9 +141,9 @@
     world.stop("gone")
     world.join("a1")
     world.run(1.2)
-    assert not world.contacts["a1"].is_resolved
+    assert not world.directories["a1"].is_resolved
     world.run(4.0)
-    assert world.contacts["a1"].is_resolved
+    assert world.directories["a1"].is_resolved
     assert world.stored() == ["a1"]
 
 
--- a/tests/router/test_readers.py
+++ b/tests/router/test_readers.py
@@ -24,12 +24,12 @@
 
 @given(st.integers(3, 100))
 def test_number_of_readers_does_not_grow_with_the_number_of_routers(count):
-    reading = [
+    readers = [
         item.address
         for item in routers(count)
         if ReadPlanner(item.address, 0.0).plan(routers(count), 0.0).reads_store
     ]
-    assert len(reading) == READERS
+    assert len(readers) == READERS
 
 
 def test_reader_that_lost_the_store_is_replaced():
@@ -81,8 +81,8 @@
     candidates = [Candidate(f"r{n}", True, capacity=0.5) for n in range(20)]
     candidates += [Candidate(f"s{n}", True, capacity=2.0) for n in range(3)]
     assert all(address.startswith("s") for address in select_readers(candidates))
-    reading = [Candidate("x", True, is_reader=True, capacity=0.1)]
-    assert select_readers(candidates + reading)[0] == "x"
+    current_readers = [Candidate("x", True, is_reader=True, capacity=0.1)]
+    assert select_readers(candidates + current_readers)[0] == "x"
 
 
 def test_starting_router_queries_a_seed_and_does_not_read():
@@ -127,7 +127,7 @@
     candidates = routers(195)
     failed_readers = select_readers(candidates)
     remaining = [item for item in candidates if item.address not in failed_readers]
-    reading, asked = [], set()
+    new_readers, queried = [], set()
     for item in remaining:
         planner = ReadPlanner(item.address, 0.0, SEEDS)
         planner.record_response(9.0)
@@ -135,11 +135,11 @@
             planner.record_failure(address, 9.1)
         plan = planner.plan(candidates, 9.1)
         if plan.reads_store:
-            reading.append(item.address)
+            new_readers.append(item.address)
         else:
-            asked.add(plan.source)
-    assert sorted(reading) == sorted(select_readers(remaining))
-    assert asked == set(reading)
+            queried.add(plan.source)
+    assert sorted(new_readers) == sorted(select_readers(remaining))
+    assert queried == set(new_readers)
 
 
 # Guards against 195 routers that all start to read at once when none of their readers responds.
--- a/tests/router/test_store_client.py
+++ b/tests/router/test_store_client.py
@@ -14,10 +14,14 @@
 
     def __init__(self, max_response_s=None):
         self.loop = FakeLoop()
-        self.answers = []
+        self.responses = []
         self.parts = 0
         self.reader = ResponseReader(
-            self.loop, TIMEOUT_S, self.answers.append, self._on_part, max_response_s=max_response_s
+            self.loop,
+            TIMEOUT_S,
+            self.responses.append,
+            self._on_part,
+            max_response_s=max_response_s,
         )
 
     def _on_part(self):
@@ -39,7 +43,7 @@
     call.run(0.8)
     call.arrive(10, MAX_STALL_S * 0.9 / 2)
     call.reader.on_complete()
-    assert [answer.body for answer in call.answers] == [b"x" * 10]
+    assert [response.body for response in call.responses] == [b"x" * 10]
     assert call.parts == 11
 
 
@@ -48,20 +52,20 @@
     call.reader.on_head(503, [], None)
     call.reader.on_body(b"x")
     call.reader.on_complete()
-    assert call.parts == 0 and call.answers[0].status == 503
+    assert call.parts == 0 and call.responses[0].status == 503
 
 
 def test_call_without_a_response_times_out():
     call = Call()
     call.run(TIMEOUT_S + 0.01)
-    assert call.answers == [None]
+    assert call.responses == [None]
 
 
 def test_stalled_response_is_given_up():
     call = Call()
     call.arrive(3, 0.4)
     call.run(MAX_STALL_S + 0.01)
-    assert call.answers == [None]
+    assert call.responses == [None]
 
 
 @pytest.mark.parametrize(
@@ -71,8 +75,8 @@
     call = Call(max_response_s)
     began_at = call.loop.now()
     call.reader.on_head(200, [], None)
-    while not call.answers:
+    while not call.responses:
         call.run(0.1)
         call.reader.on_body(b"x")
-    assert call.answers == [None]
+    assert call.responses == [None]
     assert call.loop.now() - began_at == pytest.approx(expected, abs=0.15)
--- a/tests/router/test_store_sync.py
+++ b/tests/router/test_store_sync.py
@@ -49,7 +49,7 @@
 
 
 def start_sync(loop, own, others, replicas):
-    """Return the keeper of a router that follows, serving at its address, and its store."""
+    """Start a follower that serves at its address; return its synchronization and its store."""
     store = SilentStore()
     peers = KnownPeers(record(own), [record(address) for address in others])
     sync = StoreSync(StoreSyncParts(loop, store, DIALECT, replicas, peers), lambda: None)
