--- a/src/martenrun/router/attempt.py
+++ b/src/martenrun/router/attempt.py
@@ -231,7 +231,7 @@
             return
         model = self._admitted.call.model
         instance = self._services.adapter.responding_instance(self.headers)
-        target = None if model is None else self._services.weights.wanted.get(model)
+        target = None if model is None else self._services.weights.targets.get(model)
         if instance != self.state.runner.name or model is None or target is None:
             # Another runner uses this address.
             self.state.loading_until = now + LOADING_TIMEOUT_S
--- a/src/martenrun/router/dataset_copy.py
+++ b/src/martenrun/router/dataset_replica.py
@@ -1,9 +1,9 @@
-"""A router's copy of one dataset of the platform's store.
+"""A router's replica of one dataset of the platform's store.
 
-It is fed by the store or by another router, and in turn feeds other routers.  Every change gets
-a number of this copy's own, so that a follower can ask for what came after the last one it has.
-An object that is missing after an outage is kept for a time of grace; followers are told since when
-it is missing, so that it lasts no longer with them, whoever they follow next.
+It is fed by the store or by another router, and feeds other routers in turn.  Each change gets a
+sequence number of this replica, so that a follower can request the changes after its last one.
+An object that is missing after an outage is kept for a grace period.  Followers receive the time
+since when it is missing, so that they do not keep it longer, whichever router they follow next.
 """
 
 import collections
@@ -15,73 +15,73 @@
 from martenrun.router.messages import Dataset, StoredObject
 
 RETURN_GRACE_S = 2.0
-"""How long after an outage of the store an object may still be missing without being gone."""
+"""How long after an outage of the store an object may be missing before it counts as deleted."""
 
 NONE_MISSING: Mapping[str, float] = {}
 
-REMEMBERED_CHANGES = 512
-"""Changes kept for followers; who asks for older ones gets the whole copy."""
+MAX_CHANGES = 512
+"""Maximum number of changes kept for followers; requests for older ones get a snapshot."""
 
 
 @attrs.frozen
 class Change:
-    """One change of a copy; ``stored`` is None where the object is gone."""
+    """One change of a replica; ``stored`` is None if the object was deleted."""
 
-    number: int
+    sequence_number: int
     name: str
     stored: StoredObject | None
 
 
 @attrs.frozen
-class CopyListener:
-    """What is told of a copy's changes.
+class ReplicaListener:
+    """Callbacks for changes of a replica.
 
     Attributes:
         on_put: an object is new or has changed.
-        on_gone: an object is gone.
-        on_settled: a whole answer has been taken in.
+        on_deleted: an object was deleted.
+        on_applied: a complete response has been applied.
     """
 
     on_put: Callable[[StoredObject], None]
-    on_gone: Callable[[str], None]
-    on_settled: Callable[[], None]
+    on_deleted: Callable[[str], None]
+    on_applied: Callable[[], None]
 
 
-class DatasetCopy:
-    """Objects of one dataset, the newest revision seen, and when that was last confirmed.
+class DatasetReplica:
+    """Objects of one dataset, the newest revision seen, and when it was last confirmed.
 
     Args:
-        dataset: what is copied.
-        listener: told of the changes.
+        dataset: the replicated dataset.
+        listener: receives the changes.
     """
 
-    def __init__(self, dataset: Dataset, listener: CopyListener) -> None:
+    def __init__(self, dataset: Dataset, listener: ReplicaListener) -> None:
         self.dataset = dataset
         self._listener = listener
         self._objects: dict[str, StoredObject] = {}
         self._missing_since: dict[str, float] = {}
-        self._changes: collections.deque[Change] = collections.deque(maxlen=REMEMBERED_CHANGES)
-        self.number = 0
+        self._changes: collections.deque[Change] = collections.deque(maxlen=MAX_CHANGES)
+        self.sequence_number = 0
         self.revision: int | None = None
         self.confirmed_at: float | None = None
 
     @property
-    def is_known(self) -> bool:
-        """Whether a whole list has been taken in."""
+    def is_loaded(self) -> bool:
+        """Whether a complete list has been applied."""
         return self.revision is not None
 
     @property
     def objects(self) -> list[StoredObject]:
-        """All objects, those missing only since an outage included."""
+        """All objects, including those that are missing since an outage."""
         return list(self._objects.values())
 
     @property
     def has_missing(self) -> bool:
-        """Whether an object is missing and kept for the time of grace."""
+        """Whether a missing object is kept for the grace period."""
         return bool(self._missing_since)
 
     def missing_since(self, name: str) -> float | None:
-        """Return since when an object is missing and kept for the time of grace, or None."""
+        """Return since when an object kept for the grace period is missing, or None."""
         return self._missing_since.get(name)
 
     def replace(
@@ -92,7 +92,7 @@
         now: float,
         missing: Mapping[str, float] = NONE_MISSING,
     ) -> None:
-        """Take in a whole list, unless it is older than what is known.
+        """Apply a complete list, unless it is older than the known state.
 
         Args:
             missing: since when objects of the list are missing in the store.
@@ -105,66 +105,70 @@
         for name in [name for name in self._objects if name not in listed]:
             self._remove(name, is_after_outage, now)
         self.revision = revision
-        self._listener.on_settled()
+        self._listener.on_applied()
 
     def apply(
         self,
         changed: list[StoredObject],
-        gone: list[str],
+        deleted: list[str],
         revision: int,
         is_after_outage: bool,
         now: float,
         missing: Mapping[str, float] = NONE_MISSING,
     ) -> None:
-        """Take in changes in order of their kind: objects first, then those that are gone.
+        """Apply changes: first changed objects, then deletions.
 
         Args:
             missing: since when changed objects are missing in the store.
         """
         for stored in changed:
             self._put(stored, missing.get(stored.name))
-        for name in gone:
+        for name in deleted:
             self._remove(name, is_after_outage, now)
         self.revision = max(revision, self.revision or 0)
-        self._listener.on_settled()
+        self._listener.on_applied()
 
-    def confirm(self, asked_at: float) -> None:
-        """Note that a read sent at ``asked_at`` is taken in whole; the time only rises."""
-        if self.confirmed_at is None or asked_at > self.confirmed_at:
-            self.confirmed_at = asked_at
+    def confirm(self, sent_at: float) -> None:
+        """Record that a read sent at ``asked_at`` was applied; the time only increases."""
+        if self.confirmed_at is None or sent_at > self.confirmed_at:
+            self.confirmed_at = sent_at
 
     def drop_missing(self, now: float) -> None:
-        """Drop objects that have stayed missing for the whole time of grace."""
+        """Drop objects that have been missing for the whole grace period."""
         late = [key for key, since in self._missing_since.items() if now - since > RETURN_GRACE_S]
         for name in late:
             log_warning("object_lapsed", dataset=self.dataset.value, name=name)
             self._drop(name)
         if late:
-            self._listener.on_settled()
+            self._listener.on_applied()
 
     def changes_after(self, number: int) -> list[Change] | None:
-        """Return the changes after a number, or None if they are no longer all known."""
-        if number == self.number:
+        """Return the changes after a sequence number, or None if some are no longer kept."""
+        if number == self.sequence_number:
             return []
-        if number > self.number or not self._changes or self._changes[0].number > number + 1:
+        if (
+            number > self.sequence_number
+            or not self._changes
+            or self._changes[0].sequence_number > number + 1
+        ):
             return None
-        return [change for change in self._changes if change.number > number]
+        return [change for change in self._changes if change.sequence_number > number]
 
     def _put(self, stored: StoredObject, missing_since: float | None) -> None:
-        """Take in an object; one that is missing keeps the earliest time of that."""
+        """Store an object; one that is missing keeps the earliest such time."""
         known = self._objects.get(stored.name)
         if known is not None and known.revision > stored.revision:
             return
-        was_missing_since = self._missing_since.pop(stored.name, None)
+        previous_missing_since = self._missing_since.pop(stored.name, None)
         if missing_since is not None:
-            earliest = min(missing_since, was_missing_since or missing_since)
+            earliest = min(missing_since, previous_missing_since or missing_since)
             self._missing_since[stored.name] = earliest
         is_new = known is None or known.revision < stored.revision
         if is_new:
             self._objects[stored.name] = stored
             self._listener.on_put(stored)
-        if is_new or was_missing_since != self._missing_since.get(stored.name):
-            self._note(stored.name, stored)
+        if is_new or previous_missing_since != self._missing_since.get(stored.name):
+            self._append_change(stored.name, stored)
 
     def _remove(self, name: str, is_after_outage: bool, now: float) -> None:
         if name not in self._objects:
@@ -173,14 +177,14 @@
             self._drop(name)
         elif name not in self._missing_since:
             self._missing_since[name] = now
-            self._note(name, self._objects[name])
+            self._append_change(name, self._objects[name])
 
     def _drop(self, name: str) -> None:
         self._missing_since.pop(name, None)
         if self._objects.pop(name, None) is not None:
-            self._note(name, None)
-            self._listener.on_gone(name)
+            self._append_change(name, None)
+            self._listener.on_deleted(name)
 
-    def _note(self, name: str, stored: StoredObject | None) -> None:
-        self.number += 1
-        self._changes.append(Change(self.number, name, stored))
+    def _append_change(self, name: str, stored: StoredObject | None) -> None:
+        self.sequence_number += 1
+        self._changes.append(Change(self.sequence_number, name, stored))
--- a/src/martenrun/router/denials.py
+++ b/src/martenrun/router/denials.py
@@ -1,42 +1,42 @@
-"""Denies a request only by recent knowledge, after news had time to come."""
+"""Rechecks requests that would be denied, against recent state, before it denies them."""
 
 from collections.abc import Callable
 
 from martenrun.net.http import HttpResponse
 from martenrun.net.server import Exchange
 from martenrun.router.admission import Admission, Refusal, send_refusal
-from martenrun.router.knowledge import decoded
-from martenrun.router.knowledge_feed import KnowledgeFeed
 from martenrun.router.messages import AdmittedRequest, Call, Dataset
 from martenrun.router.request_services import RequestServices
-from martenrun.router.store_client import HttpCaller
+from martenrun.router.store_client import HttpClient
+from martenrun.router.store_state import decode_or_log
+from martenrun.router.store_state_feed import StoreStateFeed
 
-DENIAL_AGE_S = 2.6
-"""Age from which configuration is too old to deny anything by it without a new read."""
+MAX_DENIAL_AGE_S = 2.6
+"""Age above which the configuration must be reread before a request is denied, in seconds."""
 
 DENIAL_WAIT_S = 0.06
-"""How long a denial waits for news that may be under way, in seconds."""
+"""How long a denial waits for updates that may be in transit, in seconds."""
 
 CONFIRM_TIMEOUT_S = 0.8
-"""How long a denial waits for a new read of the configuration to be whole, in seconds."""
+"""Timeout for the complete reread of the configuration, in seconds."""
 
 
-class Denials:
-    """Looks again at requests that would be denied.
+class DenialRecheck:
+    """Decides requests again that would be denied.
 
-    Only requests that come before a read has failed wait for one: while the store does not answer,
-    others are refused at once, and reads go on behind them.
+    Only requests that arrive before a read has failed wait for one.  While the store does not
+    respond, others are refused at once, and reads continue in the background.
 
     Args:
-        forward: takes up a request that may be served after all.
+        forward: forwards a request that is admitted after all.
     """
 
     def __init__(
         self,
         world: RequestServices,
         admission: Admission,
-        store: HttpCaller,
-        feed: KnowledgeFeed,
+        store: HttpClient,
+        feed: StoreStateFeed,
         forward: Callable[[Exchange, AdmittedRequest], None],
     ) -> None:
         self._world = world
@@ -48,14 +48,14 @@
         self._is_reading = False
         self._failed_at: float | None = None
 
-    def look_again(self, exchange: Exchange, call: Call) -> None:
-        """Decide a request anew in a moment, by a new read where what is known is old."""
+    def recheck(self, exchange: Exchange, call: Call) -> None:
+        """Decide a request again shortly, after a new read if the configuration is old."""
         self._world.loop.call_later(DENIAL_WAIT_S, lambda: self._decide_or_read(exchange, call))
 
     def _decide_or_read(self, exchange: Exchange, call: Call) -> None:
         if exchange.is_over:
             return
-        if self._world.configuration.age_s(self._world.loop.now()) <= DENIAL_AGE_S:
+        if self._world.configuration.age_s(self._world.loop.now()) <= MAX_DENIAL_AGE_S:
             self._decide(exchange, call)
         elif self._has_failed_since_confirmed():
             send_refusal(exchange, Refusal(503, "not_confirmed"), call)
@@ -65,28 +65,28 @@
             self._read()
 
     def _has_failed_since_confirmed(self) -> bool:
-        """Whether the last read failed, and nothing has confirmed the configuration since."""
+        """Return whether the last read failed and nothing has confirmed the configuration since."""
         confirmed_at = self._world.configuration.confirmed_at
         if self._failed_at is None:
             return False
         return confirmed_at is None or confirmed_at < self._failed_at
 
     def _read(self) -> None:
-        """Read the configuration, unless a read is under way: one serves all that wait."""
+        """Read the configuration, unless a read is pending: one serves all waiting requests."""
         if self._is_reading:
             return
         self._is_reading = True
-        asked_at = self._world.loop.now()
+        sent_at = self._world.loop.now()
         self._store.call(
             self._world.adapter.read_object(Dataset.CONFIGURATION, "main"),
             CONFIRM_TIMEOUT_S,
-            lambda answer: self._on_read(answer, asked_at),
-            longest_s=CONFIRM_TIMEOUT_S,
+            lambda response: self._on_read(response, sent_at),
+            max_response_s=CONFIRM_TIMEOUT_S,
         )
 
-    def _on_read(self, answer: HttpResponse | None, asked_at: float) -> None:
+    def _on_read(self, response: HttpResponse | None, sent_at: float) -> None:
         self._is_reading = False
-        is_confirmed = self._is_confirmed(answer, asked_at)
+        is_confirmed = self._is_confirmed(response, sent_at)
         self._failed_at = None if is_confirmed else self._world.loop.now()
         waiting, self._waiting = self._waiting, []
         for exchange, call in waiting:
@@ -97,15 +97,15 @@
             else:
                 send_refusal(exchange, Refusal(503, "not_confirmed"), call)
 
-    def _is_confirmed(self, answer: HttpResponse | None, asked_at: float) -> bool:
-        """Take a read of the configuration in; return whether that is what is in force here."""
-        if answer is None or answer.status != 200:
+    def _is_confirmed(self, response: HttpResponse | None, sent_at: float) -> bool:
+        """Apply a read configuration; return whether it is the one in force on this router."""
+        if response is None or response.status != 200:
             return False
-        stored = decoded(answer.body, self._world.adapter.read_stored)
+        stored = decode_or_log(response.body, self._world.adapter.read_stored)
         if stored is None:
             return False
         self._feed.put_configuration(stored)
-        return self._world.configuration.confirm(asked_at)
+        return self._world.configuration.confirm(sent_at)
 
     def _decide(self, exchange: Exchange, call: Call) -> None:
         decision = self._admission.admit(exchange, call)
--- a/src/martenrun/router/forwarding.py
+++ b/src/martenrun/router/forwarding.py
@@ -361,7 +361,7 @@
         The run on the old instance is lost even if its connection has not been closed.
         """
         attempt = self._attempt
-        if attempt is not None and self._services.runners.has_ended(attempt.state.runner):
+        if attempt is not None and self._services.runners.is_replaced(attempt.state.runner):
             attempt.cancel()
             request = self._exchange.request
             self._services.suspects.note_left(attempt.state, request, self._admitted)
--- a/src/martenrun/router/gauges.py
+++ b/src/martenrun/router/gauges.py
@@ -4,11 +4,11 @@
 
 import attrs
 
-from martenrun.router.keeper import Keeper
 from martenrun.router.lease import Lease
 from martenrun.router.metrics import Sample
 from martenrun.router.peers import Peers
 from martenrun.router.request_services import RequestServices
+from martenrun.router.store_sync import StoreSync
 
 
 @attrs.frozen
@@ -22,7 +22,7 @@
 
     services: RequestServices
     peers: Peers
-    keeper: Keeper
+    keeper: StoreSync
     lease: Lease
     request_count: Callable[[], int]
     connection_count: Callable[[], int]
@@ -46,7 +46,7 @@
         Sample("configuration_version", services.configuration.version),
         Sample("configuration_behind_seconds", services.configuration.behind_s(now)),
         Sample("routers_alive", 1 + len(sources.peers.live())),
-        Sample("oldest_router_alive_seconds", sources.peers.table.oldest_alive_s(now)),
+        Sample("oldest_router_alive_seconds", sources.peers.table.max_live_silence_s(now)),
         Sample("store_lost", sources.keeper.has_lost_store),
         Sample("lease_held", sources.lease.is_held()),
         Sample("requests_blamed", len(crash_records)),
--- a/src/martenrun/router/lease.py
+++ b/src/martenrun/router/lease.py
@@ -13,12 +13,12 @@
 
 from martenrun.net.http import HttpResponse
 from martenrun.net.loop import Loop
-from martenrun.router.knowledge import decoded
 from martenrun.router.log import log_event, log_warning
 from martenrun.router.messages import Dataset, HttpCall, LeaseRecord, StoredObject, VersionAges
 from martenrun.router.order_schedule import OrderSchedule
 from martenrun.router.platform_adapter import PlatformAdapter
-from martenrun.router.store_client import HttpCaller
+from martenrun.router.store_client import HttpClient
+from martenrun.router.store_state import decode_or_log
 
 CALL_TIMEOUT_S = 0.7
 """Timeout of a call to the store, in seconds."""
@@ -106,7 +106,7 @@
     def __init__(
         self,
         loop: Loop,
-        store: HttpCaller,
+        store: HttpClient,
         dialect: PlatformAdapter,
         name: str,
         holder: str,
@@ -225,7 +225,7 @@
         def on_response(response: HttpResponse | None) -> None:
             if response is not None and response.status == 200:
                 log_event("lease_released", token=record.fencing_token)
-                stored = decoded(response.body, self._dialect.read_stored)
+                stored = decode_or_log(response.body, self._dialect.read_stored)
                 if stored is not None:
                     on_released(record, stored.revision)
 
@@ -314,13 +314,15 @@
                 on_done(is_stored)
 
     def _observe(self, response: HttpResponse) -> None:
-        stored = decoded(response.body, self._dialect.read_stored)
+        stored = decode_or_log(response.body, self._dialect.read_stored)
         if stored is None:
             self._not_before = self._loop.now() + RETRY_PAUSE_S
             return
         seen_at = self._loop.now()
         if self._observed is not None and stored.revision == self._observed.stored.revision:
             seen_at = self._observed.first_seen_at
-        record = decoded(stored, self._dialect.read_lease) or LeaseRecord("", self.fencing_token)
+        record = decode_or_log(stored, self._dialect.read_lease) or LeaseRecord(
+            "", self.fencing_token
+        )
         self._observed = ObservedLease(stored, record, seen_at)
         self._on_ages(record.ages_ms)
--- a/src/martenrun/router/load_exchange.py
+++ b/src/martenrun/router/load_exchange.py
@@ -74,7 +74,7 @@
     def _broadcast_load(self, state: RunnerState) -> None:
         state.broadcast_prefill_tokens = state.pending_prefill_tokens
         state.prefill_broadcast_at = self._peers.now()
-        self._peers.tell_reading(state.runner.instance, _own_load(state))
+        self._peers.broadcast_load(state.runner.instance, _own_load(state))
 
     def update_from_records(self) -> None:
         """Recompute the load of every runner from the records of all live routers."""
@@ -105,7 +105,7 @@
                 continue
             self._received.merge(zone, sums, self._peers.now())
             self._outdated.update(sums)
-            if not update.is_passed_on:
+            if not update.is_forwarded:
                 self._to_forward.setdefault(zone, {}).update(sums)
 
     def refresh(self) -> None:
@@ -123,8 +123,8 @@
         """Send the sums that are due between zones; return the seconds until the next call."""
         own = self._peers.own
         if self._to_forward:
-            forwarded = ZoneLoads(self._to_forward, is_passed_on=True)
-            self._peers.tell_sums(self._own_zone_addresses(), forwarded)
+            forwarded = ZoneLoads(self._to_forward, is_forwarded=True)
+            self._peers.send_zone_loads(self._own_zone_addresses(), forwarded)
             self._to_forward = {}
         if self._reporters.get(own.zone) == own.address:
             own_zone = [record.loads for record in self._peers.live() if record.zone == own.zone]
@@ -133,12 +133,12 @@
             )
             others = [address for zone, address in self._reporters.items() if zone != own.zone]
             if update:
-                self._peers.tell_sums(others, ZoneLoads({own.zone: update}))
+                self._peers.send_zone_loads(others, ZoneLoads({own.zone: update}))
         return SEND_INTERVAL_S
 
     @property
     def _uses_zone_loads(self) -> bool:
-        return self._peers.tells_own_zone_only()
+        return self._peers.sends_loads_to_own_zone_only()
 
     def _own_zone_addresses(self) -> list[str]:
         own = self._peers.own
@@ -154,13 +154,13 @@
             load = record.loads.get(instance)
             if load is not None:
                 requests += load.requests
-                prefill += load.tokens_to_read
-                kv_cache += load.tokens_held
+                prefill += load.prefill_tokens
+                kv_cache += load.kv_cache_tokens
         if self._reporters:
             other_zones = self._received.total_load(instance, self._peers.now())
             requests += other_zones.requests
-            prefill += other_zones.tokens_to_read
-            kv_cache += other_zones.tokens_held
+            prefill += other_zones.prefill_tokens
+            kv_cache += other_zones.kv_cache_tokens
         state.other_requests = requests
         state.other_prefill_tokens = prefill
         state.other_kv_cache_tokens = kv_cache
--- /dev/null
+++ b/src/martenrun/router/peer_updates.py
@@ -0,0 +1,38 @@
+"""Dispatches updates from other routers and selects those sent to newly discovered routers."""
+
+from collections.abc import Sequence
+
+from martenrun.router.blame_messages import BlameNews
+from martenrun.router.limit_messages import LimitUpdate
+from martenrun.router.peer_messages import LeaseUpdate, UnresponsiveRunnerUpdate
+from martenrun.router.peers import Update
+from martenrun.router.request_services import RequestServices
+from martenrun.router.unresponsive_runners import record_unresponsive
+from martenrun.router.weights_rollout import WeightsRollout
+from martenrun.router.weights_updates import apply_weights_update
+
+
+def dispatch_update(world: RequestServices, roller: WeightsRollout, update: Update) -> None:
+    """Pass an update from another router to the component that handles it."""
+    now = world.loop.now()
+    if isinstance(update, LeaseUpdate):
+        roller.handle_lease_release(update)
+    elif isinstance(update, UnresponsiveRunnerUpdate):
+        record_unresponsive(world, update, now)
+    elif isinstance(update, BlameNews):
+        world.suspects.take(update)
+    elif isinstance(update, LimitUpdate):
+        world.runner_limits.merge(update, now)
+    else:
+        apply_weights_update(world, update)
+
+
+def updates_for_new_router(world: RequestServices, routers: int) -> Sequence[Update]:
+    """Return the updates for a newly discovered router.
+
+    Args:
+        routers: the number of known routers.
+    """
+    blame = world.suspects.newcomer_news(routers)
+    limits = world.runner_limits.new_router_update(world.loop.now())
+    return [update for update in (blame, limits) if update is not None]
--- a/src/martenrun/router/peers.py
+++ b/src/martenrun/router/peers.py
@@ -1,8 +1,8 @@
-"""The routers of a deployment, known to each other by gossip over UDP.
+"""Gossip membership among the routers of a deployment, over UDP.
 
-Every router raises the beat of its own record and sends the records it knows to a few others at
-a time; newer records replace older ones.  A record whose beat has not risen for a while counts as
-dead.  Loads of runners travel in the records; news that cannot wait goes to all at once.
+Every router advances the heartbeat in its own record and periodically sends the records it knows
+to a few others; newer records replace older ones.  A router whose heartbeat has not advanced for a
+while counts as dead.  Runner loads travel in the records; urgent updates are broadcast at once.
 """
 
 import math
@@ -19,15 +19,15 @@
 from martenrun.router.log import log_warning
 from martenrun.router.peer_messages import (
     Gossip,
-    LeaseNews,
+    LeaseUpdate,
+    LoadUpdate,
     Message,
-    ReadingNews,
-    RecordsWanted,
-    RouterBeat,
+    RecordsRequest,
+    RouterHeartbeat,
     RouterRecord,
     RunnerLoad,
-    SilenceNews,
-    WeightsNews,
+    UnresponsiveRunnerUpdate,
+    WeightsUpdate,
     ZoneLoads,
     decode,
     encode,
@@ -36,62 +36,64 @@
 from martenrun.router.router_table import RouterTable
 
 GOSSIP_INTERVAL_S = 0.3
-"""How often a router of a small deployment sends its records, in seconds."""
+"""Interval between gossip rounds in a small deployment, in seconds."""
 
 RECORDS_PER_DATAGRAM = 16
-"""Most records in one datagram; the newest go first."""
+"""Maximum number of records in one datagram; the newest are sent first."""
 
-RECORDS_AMONG_MANY = 8
-"""Most records in one datagram that holds beats as well."""
+RECORDS_WITH_HEARTBEATS = 8
+"""Maximum number of records in one datagram that also carries heartbeats."""
 
-BEATS_PER_DATAGRAM = 256
-"""Most beats in one datagram, of some 16 bytes each; those noticed last where there are more."""
+HEARTBEATS_PER_DATAGRAM = 256
+"""Maximum number of heartbeats in one datagram, about 16 bytes each; the most recent go first."""
 
-NEAR_TARGETS = 2
-FAR_SHARE = 0.5
-"""Routers of the own zone told in each interval where there are many, and how often one of another.
+SAME_ZONE_TARGETS = 2
+OTHER_ZONE_PROBABILITY = 0.5
+"""Gossip targets per round in a large deployment: routers of the own zone, and how often another.
 
-Bytes between zones are the dear ones.  Without requests, 195 routers in five zones, none of the
-living counted as dead in 8 s: half of 1 with one near router instead of two 6 in 10,000.
+Traffic between zones is more expensive.  With 195 routers in five zones and no requests, no live
+router was declared dead in 8 s; with one target in the own zone instead of two, half of 1 to 6 in
+10,000 were.
 """
 
-WANTED_AT_ONCE = 32
-"""Most records asked for at a time, answered in two datagrams."""
+MAX_REQUESTED_RECORDS = 32
+"""Maximum number of records per request; the response takes two datagrams."""
 
-WANTED_AGAIN_S = 0.5
-"""Time after which a record that did not come is asked for again, in seconds."""
+REQUEST_RETRY_S = 0.5
+"""Time after which a missing record is requested again, in seconds."""
 
-TOLD_AGAIN_S = 0.5
-"""Shortest time between two tellings of the own record to all, where one may wait, in seconds."""
+MIN_BROADCAST_INTERVAL_S = 0.5
+"""Minimum interval between broadcasts of the own record that may be delayed, in seconds."""
 
-UNKNOWN_COUNT = 16
-"""Routers reckoned with until others have been heard for SETTLING_S seconds."""
+ASSUMED_ROUTERS = 16
+"""Assumed number of routers until others have been heard from for SETTLING_S seconds."""
 
 SETTLING_S = 2.0
 
-LONGEST_DATAGRAM = 60_000
+MAX_DATAGRAM_BYTES = 60_000
 
-News = WeightsNews | LeaseNews | SilenceNews | BlameNews | LimitUpdate
-"""What is told to all routers at once."""
+Update = WeightsUpdate | LeaseUpdate | UnresponsiveRunnerUpdate | BlameNews | LimitUpdate
+"""Messages that are broadcast to all routers at once."""
 
 DATAGRAMS_PER_ROUND = 64
-"""Datagrams read before others are served; what is left waits for the next round."""
+"""Datagrams read before the loop serves other sockets; the rest wait for the next round."""
 
 
 class Peers:
-    """Keeps the table current and carries news.
+    """Exchanges gossip and updates with the other routers.
 
     Args:
-        loop: the loop it is served on.
-        own: this router's record; its beat rises here.
+        loop: the event loop.
+        own: this router's record, whose heartbeat is advanced here.
         seeds: addresses to send to while no other router is known.
-        refresh: fills in what changes in the own record before it is sent.
-        on_news: called with news that went to all routers at once.
-        on_records: called after records were taken in.
-        on_reading: called with a runner's instance once a router's load there has been taken in.
-        on_sums: called with sums of loads over other zones.
-        newcomer_news: returns what a router heard of for the first time is told, of so many.
-        on_quota: called with what is asked or told of tenants' rates.
+        refresh: updates the own record before it is sent.
+        on_update: called with each update that another router broadcast.
+        on_records: called after records have been merged.
+        on_load_update: called with a runner's instance after a load update for it was merged.
+        on_zone_loads: called with load totals of other zones.
+        updates_for_new_router: returns the updates for a newly discovered router, given the number
+            of known routers.
+        on_quota_message: called with messages about tenant rates.
     """
 
     def __init__(
@@ -100,28 +102,28 @@
         own: RouterRecord,
         seeds: tuple[str, ...],
         refresh: Callable[[RouterRecord], None],
-        on_news: Callable[[News], None],
+        on_update: Callable[[Update], None],
         on_records: Callable[[], None],
-        on_reading: Callable[[str], None],
-        on_sums: Callable[[ZoneLoads], None] = lambda _sums: None,
-        newcomer_news: Callable[[int], Sequence[News]] = lambda _routers: (),
-        on_quota: Callable[[QuotaMessage], None] = lambda _message: None,
+        on_load_update: Callable[[str], None],
+        on_zone_loads: Callable[[ZoneLoads], None] = lambda _sums: None,
+        updates_for_new_router: Callable[[int], Sequence[Update]] = lambda _routers: (),
+        on_quota_message: Callable[[QuotaMessage], None] = lambda _message: None,
     ) -> None:
         self._loop = loop
         self.table = RouterTable(own)
         self._seeds = [seed for seed in seeds if seed != own.address]
         self._refresh = refresh
-        self._on_news = on_news
+        self._on_update = on_update
         self._on_records = on_records
-        self._on_reading = on_reading
-        self._on_sums = on_sums
-        self._newcomer_news = newcomer_news
-        self._on_quota = on_quota
-        self._told_at = -math.inf
-        self._tells_later = False
-        self._heard_since: float | None = None
+        self._on_load_update = on_load_update
+        self._on_zone_loads = on_zone_loads
+        self._updates_for_new_router = updates_for_new_router
+        self._on_quota_message = on_quota_message
+        self._broadcast_at = -math.inf
+        self._is_broadcast_scheduled = False
+        self._first_gossip_at: float | None = None
         self._unread_late_s = 0.0
-        self._wanted_at: dict[int, float] = {}
+        self._requested_at: dict[int, float] = {}
         self._rng = random.Random()
         self._socket = self._open(own.address)
 
@@ -131,7 +133,7 @@
         return self.table.own
 
     def start(self) -> None:
-        """Begin to tell others of this router."""
+        """Start the periodic gossip."""
         self._tick()
 
     def live(self) -> list[RouterRecord]:
@@ -139,71 +141,71 @@
         return self.table.live(self._loop.now())
 
     def silent_since(self) -> list[float]:
-        """Return when each router that counts as dead was last heard of, in steady seconds."""
+        """Return the monotonic time of the last sign of life of each router that counts as dead."""
         return self.table.silent_since(self._loop.now())
 
     def budget_count(self) -> int:
-        """Return among how many routers a common budget is to be shared."""
+        """Return the number of routers that share a common budget."""
         known = self.table.count()
-        return known if self.is_settled() else max(UNKNOWN_COUNT, known)
+        return known if self.is_settled() else max(ASSUMED_ROUTERS, known)
 
     def is_settled(self) -> bool:
-        """Whether other routers have been heard for long enough to know most of them."""
-        since = self._heard_since
+        """Return whether other routers have been heard from long enough to know most of them."""
+        since = self._first_gossip_at
         return since is not None and self._loop.now() - since > SETTLING_S
 
-    def tell_all(self, news: News) -> None:
-        """Send news to every router known."""
-        self._send_to(self.table.addresses(), news)
+    def broadcast(self, update: Update) -> None:
+        """Broadcast an update to all known routers."""
+        self._send_to(self.table.addresses(), update)
 
-    def tell_reading(self, instance: str, load: RunnerLoad) -> None:
-        """Tell other routers of this router's load at one runner, at once."""
+    def broadcast_load(self, instance: str, load: RunnerLoad) -> None:
+        """Send this router's load on one runner to the other routers at once."""
         own = self.own
-        own.beat += 1
-        news = ReadingNews(own.address, own.incarnation, own.beat, instance, load)
-        self._send_to(self.table.told_at_once(), news)
+        own.heartbeat += 1
+        update = LoadUpdate(own.address, own.incarnation, own.heartbeat, instance, load)
+        self._send_to(self.table.load_update_addresses(), update)
 
-    def tell_sums(self, addresses: list[str], sums: ZoneLoads) -> None:
-        """Send sums of loads to some routers."""
-        self._send_to(addresses, sums)
+    def send_zone_loads(self, addresses: list[str], loads: ZoneLoads) -> None:
+        """Send load totals to some routers."""
+        self._send_to(addresses, loads)
 
-    def tell(self, addresses: list[str], message: QuotaMessage) -> None:
-        """Send what is asked or told of tenants' rates to some routers."""
+    def send(self, addresses: list[str], message: QuotaMessage) -> None:
+        """Send a message about tenant rates to some routers."""
         self._send_to(addresses, message)
 
-    def tells_own_zone_only(self) -> bool:
-        """Whether routers of other zones are too many to be told of each reading."""
+    def sends_loads_to_own_zone_only(self) -> bool:
+        """Return whether load updates go only to the own zone because there are many routers."""
         return self.table.is_large()
 
     def now(self) -> float:
-        """Return the steady clock, in seconds."""
+        """Return the monotonic time in seconds."""
         return self._loop.now()
 
-    def introduce(self, addresses: list[str]) -> None:
+    def send_record(self, addresses: list[str]) -> None:
         """Send the own record to routers that may not know this one."""
-        self._raise_own()
+        self._advance_heartbeat()
         self._send_to(addresses, Gossip([self.own]))
 
-    def tell_now(self) -> None:
-        """Send the own record to every router known, at once."""
-        self._raise_own()
-        self._told_at = self._loop.now()
+    def broadcast_record(self) -> None:
+        """Send the own record to all known routers at once."""
+        self._advance_heartbeat()
+        self._broadcast_at = self._loop.now()
         self._send_to(self.table.addresses(), Gossip([self.own]))
 
-    def tell_soon(self) -> None:
-        """The same, at once unless that was done a moment ago: then a moment later."""
-        left_s = self._told_at + TOLD_AGAIN_S - self._loop.now()
-        if self._tells_later:
+    def schedule_record_broadcast(self) -> None:
+        """Send the own record to all known routers, at most once per MIN_BROADCAST_INTERVAL_S."""
+        delay_s = self._broadcast_at + MIN_BROADCAST_INTERVAL_S - self._loop.now()
+        if self._is_broadcast_scheduled:
             return
-        if left_s <= 0:
-            self.tell_now()
+        if delay_s <= 0:
+            self.broadcast_record()
         else:
-            self._tells_later = True
-            self._loop.call_later(left_s, self._tell_later)
+            self._is_broadcast_scheduled = True
+            self._loop.call_later(delay_s, self._run_scheduled_broadcast)
 
-    def _tell_later(self) -> None:
-        self._tells_later = False
-        self.tell_now()
+    def _run_scheduled_broadcast(self) -> None:
+        self._is_broadcast_scheduled = False
+        self.broadcast_record()
 
     def _send_to(self, addresses: list[str], message: Message) -> None:
         data = encode(message)
@@ -212,32 +214,32 @@
 
     def _tick(self) -> None:
         now = self._loop.now()
-        self.table.note_changes(now)
+        self.table.update_liveness(now)
         self.table.forget_dead(now)
-        self._raise_own()
-        beats = self._beats(now)
-        data = encode(self._gossip(beats, now))
-        for address in self._targets(now):
+        self._advance_heartbeat()
+        heartbeats = self._select_heartbeats(now)
+        data = encode(self._build_gossip(heartbeats, now))
+        for address in self._choose_targets(now):
             self._send(address, data)
         self._on_records()
-        interval_s = GOSSIP_INTERVAL_S * self.table.slowness() * self._rng.uniform(0.8, 1.2)
+        interval_s = GOSSIP_INTERVAL_S * self.table.slowdown() * self._rng.uniform(0.8, 1.2)
         self._loop.call_later(interval_s, self._tick)
 
-    def _gossip(self, beats: list[RouterBeat], now: float) -> Gossip:
-        most = RECORDS_AMONG_MANY if beats else RECORDS_PER_DATAGRAM
-        return Gossip([self.own, *self.table.newest(most - 1, now)], beats)
+    def _build_gossip(self, heartbeats: list[RouterHeartbeat], now: float) -> Gossip:
+        limit = RECORDS_WITH_HEARTBEATS if heartbeats else RECORDS_PER_DATAGRAM
+        return Gossip([self.own, *self.table.select_records(limit - 1, now)], heartbeats)
 
-    def _beats(self, now: float) -> list[RouterBeat]:
-        """Return the beats to be told beside records: none where all records fit in."""
+    def _select_heartbeats(self, now: float) -> list[RouterHeartbeat]:
+        """Return the heartbeats to send next to the records; none if all records fit."""
         if self.table.count() <= RECORDS_PER_DATAGRAM:
             return []
-        return self.table.beats(BEATS_PER_DATAGRAM, now)
+        return self.table.live_heartbeats(HEARTBEATS_PER_DATAGRAM, now)
 
-    def _raise_own(self) -> None:
-        self.own.beat += 1
+    def _advance_heartbeat(self) -> None:
+        self.own.heartbeat += 1
         self._refresh(self.own)
 
-    def _targets(self, now: float) -> list[str]:
+    def _choose_targets(self, now: float) -> list[str]:
         records = self.table.live(now)
         live = [record.address for record in records]
         near = [record.address for record in records if record.zone == self.own.zone]
@@ -245,13 +247,13 @@
             groups = [near, live]
         else:
             far = [record.address for record in records if record.zone != self.own.zone]
-            is_far_turn = not near or self._rng.random() < FAR_SHARE
-            groups = [near] * NEAR_TARGETS + ([far] if is_far_turn else [])
+            is_far_turn = not near or self._rng.random() < OTHER_ZONE_PROBABILITY
+            groups = [near] * SAME_ZONE_TARGETS + ([far] if is_far_turn else [])
         targets = [self._rng.choice(group) for group in groups if group]
         others = sorted({*self._seeds, *self.table.addresses()})
-        silent = [address for address in others if address not in live]
-        if silent and (len(live) < 2 or self._rng.random() < 0.2):
-            targets.append(self._rng.choice(silent))
+        dead = [address for address in others if address not in live]
+        if dead and (len(live) < 2 or self._rng.random() < 0.2):
+            targets.append(self._rng.choice(dead))
         return targets
 
     def _open(self, address: str) -> socket.socket:
@@ -270,14 +272,14 @@
             return
 
     def _receive(self) -> None:
-        """Read what has come, with the earliest time at which it may have arrived."""
+        """Handle the waiting datagrams, with the earliest time at which they may have arrived."""
         late_s = self._loop.late_s + self._unread_late_s
-        # Fixed before the first read: however long the process stands still between two of them,
-        # what it reads after that may have waited since then.
+        # Computed before the first read: if the process is suspended between two reads, datagrams
+        # read afterwards may have been waiting since this time.
         arrived_at = self._loop.now() - late_s
         for _ in range(DATAGRAMS_PER_ROUND):
             try:
-                data, _sender = self._socket.recvfrom(LONGEST_DATAGRAM)
+                data, _sender = self._socket.recvfrom(MAX_DATAGRAM_BYTES)
             except OSError:
                 self._unread_late_s = 0.0
                 return
@@ -286,69 +288,77 @@
             except msgspec.MsgspecError:
                 log_warning("datagram_unreadable", length=len(data))
                 continue
-            self._take(message, arrived_at)
+            self._handle_message(message, arrived_at)
         self._unread_late_s = late_s
 
-    def _take(self, message: Message, arrived_at: float) -> None:
-        if isinstance(message, News):
-            self._on_news(message)
+    def _handle_message(self, message: Message, arrived_at: float) -> None:
+        if isinstance(message, Update):
+            self._on_update(message)
             return
         if isinstance(message, QuotaMessage):
-            self._on_quota(message)
+            self._on_quota_message(message)
             return
         now = self._loop.now()
         late_s = now - arrived_at
         if isinstance(message, ZoneLoads):
-            self._on_sums(message)
+            self._on_zone_loads(message)
             return
-        if isinstance(message, RecordsWanted):
-            self._give(message, now)
+        if isinstance(message, RecordsRequest):
+            self._send_requested_records(message, now)
             return
-        if isinstance(message, ReadingNews):
-            if self.table.take_reading(message, now, late_s):
-                self._on_reading(message.instance)
+        if isinstance(message, LoadUpdate):
+            if self.table.merge_load(message, now, late_s):
+                self._on_load_update(message.instance)
             return
-        self._take_gossip(message, now, late_s)
-
-    def _take_gossip(self, message: Gossip, now: float, late_s: float) -> None:
-        if self._heard_since is None:
-            self._heard_since = now
-        is_stranger = bool(message.records) and not self.table.knows(message.records[0])
+        self._handle_gossip(message, now, late_s)
+
+    def _handle_gossip(self, message: Gossip, now: float, late_s: float) -> None:
+        if self._first_gossip_at is None:
+            self._first_gossip_at = now
+        is_new_sender = bool(message.records) and not self.table.knows_incarnation(
+            message.records[0]
+        )
         self.table.merge(message.records, now, late_s)
-        lacking = self.table.merge_beats(message.beats, now, late_s)
+        missing = self.table.merge_heartbeats(message.heartbeats, now, late_s)
         for sender in message.records[:1]:
-            later = self.table.later_life(sender)
+            later = self.table.later_incarnation(sender)
             if later is not None:
                 self._send(sender.address, encode(Gossip([later])))
-            elif is_stranger and self.table.knows(sender):
-                self._send(sender.address, encode(self._gossip(self._beats(now), now)))
-                for news in self._newcomer_news(self.table.count()):
-                    self._send(sender.address, encode(news))
-            self._ask_for(lacking, sender.address, now)
-
-    def _ask_for(self, lacking: list[int], teller: str, now: float) -> None:
-        """Ask who told beats for the records that are lacking, of a few at a time."""
-        wanted = [
-            life for life in lacking if now - self._wanted_at.get(life, -math.inf) >= WANTED_AGAIN_S
-        ][:WANTED_AT_ONCE]
-        if wanted:
-            self._wanted_at = {
-                life: at for life, at in self._wanted_at.items() if now - at < WANTED_AGAIN_S
+            elif is_new_sender and self.table.knows_incarnation(sender):
+                self._send(
+                    sender.address, encode(self._build_gossip(self._select_heartbeats(now), now))
+                )
+                for update in self._updates_for_new_router(self.table.count()):
+                    self._send(sender.address, encode(update))
+            self._request_records(missing, sender.address, now)
+
+    def _request_records(self, missing: list[int], sender: str, now: float) -> None:
+        """Request missing records from the router that sent the heartbeats, some at a time."""
+        requested = [
+            item
+            for item in missing
+            if now - self._requested_at.get(item, -math.inf) >= REQUEST_RETRY_S
+        ][:MAX_REQUESTED_RECORDS]
+        if requested:
+            self._requested_at = {
+                item: at for item, at in self._requested_at.items() if now - at < REQUEST_RETRY_S
             }
-            self._wanted_at.update(dict.fromkeys(wanted, now))
-            self._send(teller, encode(RecordsWanted(self.own.address, wanted)))
+            self._requested_at.update(dict.fromkeys(requested, now))
+            self._send(sender, encode(RecordsRequest(self.own.address, requested)))
 
-    def _give(self, wanted: RecordsWanted, now: float) -> None:
-        """Send the records that another router lacks."""
-        records = self.table.records_of(wanted.lives[:WANTED_AT_ONCE], now)
-        most = RECORDS_PER_DATAGRAM - 1
-        for first in range(0, len(records), most):
-            self._send(wanted.asker, encode(Gossip([self.own, *records[first : first + most]])))
+    def _send_requested_records(self, request: RecordsRequest, now: float) -> None:
+        """Send records that another router requested."""
+        records = self.table.records_of(request.incarnation_ids[:MAX_REQUESTED_RECORDS], now)
+        limit = RECORDS_PER_DATAGRAM - 1
+        for first in range(0, len(records), limit):
+            self._send(
+                request.requester, encode(Gossip([self.own, *records[first : first + limit]]))
+            )
 
 
 def first_incarnation() -> int:
-    """Return an incarnation that is usually newer than those of earlier lives.
+    """Return an incarnation that is usually newer than those of earlier runs of this router.
 
-    It is taken from the wall clock; where that has gone back, the table raises it.
+    It is derived from the wall clock; if that has gone back, the router table raises it.
     """
     return int(time.time() * 1000)
--- a/src/martenrun/router/process.py
+++ b/src/martenrun/router/process.py
@@ -8,22 +8,19 @@
 from martenrun.net.server import Exchange, Server
 from martenrun.router.admission import Admission, Refusal, send_refusal
 from martenrun.router.blame_store import BlameStore
-from martenrun.router.contacts import ContactDirectory
 from martenrun.router.crash_watch import RunnerKnowledge
-from martenrun.router.denials import Denials
+from martenrun.router.denials import DenialRecheck
 from martenrun.router.forwarding import RequestForwarder
 from martenrun.router.gauges import GaugeSources, read_gauges
 from martenrun.router.internal_interface import InternalInterface
-from martenrun.router.keeper import Keeper, KeeperParts
-from martenrun.router.knowledge import ConfigurationKnowledge, RunnerDirectory, WeightsKnowledge
-from martenrun.router.knowledge_feed import KnowledgeFeed
 from martenrun.router.lease import Lease
 from martenrun.router.load_exchange import LoadExchange
 from martenrun.router.log import EVENT_LOG, log_event, log_warning
 from martenrun.router.messages import AdmittedRequest, Configuration, Dataset, LeaseRecord, Route
 from martenrun.router.metrics import Metrics
-from martenrun.router.news import newcomer_news, take_news
-from martenrun.router.peer_messages import RouterRecord, SilenceNews
+from martenrun.router.peer_addresses import PeerAddressDirectory
+from martenrun.router.peer_messages import RouterRecord, UnresponsiveRunnerUpdate
+from martenrun.router.peer_updates import dispatch_update, updates_for_new_router
 from martenrun.router.peers import Peers, first_incarnation
 from martenrun.router.placement import Placement
 from martenrun.router.planned_stop import PlannedStop
@@ -35,7 +32,10 @@
 from martenrun.router.runner_limits import RunnerLimits
 from martenrun.router.runner_pool import RunnerPool
 from martenrun.router.settings import RouterSettings
-from martenrun.router.store_client import HttpCaller
+from martenrun.router.store_client import HttpClient
+from martenrun.router.store_state import ConfigurationState, RunnerDirectory, WeightsState
+from martenrun.router.store_state_feed import StoreStateFeed
+from martenrun.router.store_sync import StoreSync, StoreSyncParts
 from martenrun.router.suspects import Suspects
 from martenrun.router.tuning import DEFAULTS, TuningParameters, load_tuning_parameters
 from martenrun.router.unresponsive_runners import newly_unresponsive, record_unresponsive
@@ -66,7 +66,7 @@
         EVENT_LOG.open(settings.name)
         self._loop = Loop()
         self._loop.pacer.set_link_rate(settings.link_bytes_per_s)
-        self._store = HttpCaller(self._loop, settings.store_address)
+        self._store = HttpClient(self._loop, settings.store_address)
         self._metrics = Metrics(lambda: read_gauges(self._gauge_sources))
         self._forwarders: set[RequestForwarder] = set()
         self._stop: PlannedStop | None = None
@@ -74,13 +74,15 @@
             loop=self._loop,
             settings=settings,
             adapter=adapter,
-            configuration=ConfigurationKnowledge(),
+            configuration=ConfigurationState(),
             runners=RunnerDirectory(),
-            weights=WeightsKnowledge(),
+            weights=WeightsState(),
             pool=RunnerPool(self._loop),
             placement=Placement(decisions.placement),
             suspects=Suspects(
-                self._loop, self._crash_watch_queries(), lambda update: self._peers.tell_all(update)
+                self._loop,
+                self._crash_watch_queries(),
+                lambda update: self._peers.broadcast(update),
             ),
             decisions=decisions,
             retry_slack_from=self._retry_slack_from(settings),
@@ -90,7 +92,7 @@
             on_prefill_changed=lambda state: self._loads.report_pending_prefill(state),
             refresh_loads=lambda: self._loads.refresh(),
             runner_limits=RunnerLimits(
-                lambda update: self._peers.tell_all(update),
+                lambda update: self._peers.broadcast(update),
                 self._on_limit_changed,
                 lambda outcome: self._metrics.count("runner_limits", outcome=outcome),
             ),
@@ -99,7 +101,7 @@
         own = RouterRecord(
             address=settings.internal_address,
             incarnation=first_incarnation(),
-            beat=0,
+            heartbeat=0,
             front=settings.front_address,
             zone=settings.zone,
             is_leaving=False,
@@ -116,11 +118,11 @@
             own,
             settings.seeds,
             self._refresh,
-            lambda update: take_news(self._services, self._rollout, update),
+            lambda update: dispatch_update(self._services, self._rollout, update),
             self._on_peer_records,
             lambda instance: self._loads.mark_outdated(instance),
             lambda sums: self._loads.merge_zone_loads(sums),
-            lambda routers: newcomer_news(self._services, routers),
+            lambda routers: updates_for_new_router(self._services, routers),
             lambda message: self._quotas.take(message),
         )
         self._quotas = self._services.quotas = self._create_quota_gate(settings)
@@ -134,13 +136,13 @@
             holder,
             settings.bounds.lease_s,
             lambda: self._services.weights.ages_ms(self._loop.now()),
-            lambda ages_ms: self._services.weights.learn_ages(ages_ms, self._loop.now()),
+            lambda ages_ms: self._services.weights.merge_ages(ages_ms, self._loop.now()),
         )
         self._rollout = WeightsRollout(self._services, self._peers, self._lease)
-        self._feed = KnowledgeFeed(self._services, self._metrics, self._on_runners_updated)
-        self._keeper = Keeper(
-            KeeperParts(
-                self._loop, self._store, adapter, self._feed.copies, self._peers, settings.seeds
+        self._feed = StoreStateFeed(self._services, self._metrics, self._on_runners_updated)
+        self._keeper = StoreSync(
+            StoreSyncParts(
+                self._loop, self._store, adapter, self._feed.replicas, self._peers, settings.seeds
             ),
             self._feed.confirm,
         )
@@ -148,14 +150,14 @@
             self._loop,
             self._store,
             adapter,
-            self._feed.copies[Dataset.CRASH_RECORDS],
+            self._feed.replicas[Dataset.CRASH_RECORDS],
             self._services.suspects,
             lambda: self._keeper.reads_store,
         )
-        self._peer_addresses = ContactDirectory(
+        self._peer_addresses = PeerAddressDirectory(
             self._loop, self._store, adapter, self._peers, lambda: self._keeper.reads_store
         )
-        self._denials = Denials(
+        self._denials = DenialRecheck(
             self._services, self._admission, self._store, self._feed, self._forward
         )
         internal = InternalInterface(
@@ -213,8 +215,8 @@
         """Return the queries that the crash watch makes to components constructed after it."""
         return RunnerKnowledge(
             is_listed=lambda state: self._services.pool.state(state.runner.instance) is state,
-            has_ended=lambda runner: self._services.runners.has_ended(runner),
-            others_at=lambda address: self._services.runners.listed_at(address),
+            has_ended=lambda runner: self._services.runners.is_replaced(runner),
+            others_at=lambda address: self._services.runners.instances_at(address),
             has_connection=lambda instance: self._services.pool.has_idle_connection(instance),
             count=lambda: len(self._services.runners.runners),
         )
@@ -238,10 +240,10 @@
 
     def _on_configuration(self, configuration: Configuration) -> None:
         self._front.limits = configuration.limits
-        self._services.configuration.hear([(configuration.version, 0)], self._loop.now())
+        self._services.configuration.merge_versions([(configuration.version, 0)], self._loop.now())
         if self._keeper.reads_store:
             # Routers that are behind must learn this even if they cannot fetch the configuration.
-            self._peers.tell_soon()
+            self._peers.schedule_record_broadcast()
 
     def _on_runners_updated(self) -> None:
         self._services.pool.update(self._services.runners.runners)
@@ -261,7 +263,7 @@
         own.lease_revision = self._lease.revision
         own.lease_token = self._lease.fencing_token if own.lease_revision else 0
         own.weights = self._services.weights.ages_ms(self._loop.now())
-        own.configurations = self._services.configuration.told(self._loop.now())
+        own.configurations = self._services.configuration.versions_in_force(self._loop.now())
         own.loads = self._loads.own_loads()
         own.quota_stage = self._quotas.stage().value
 
@@ -273,10 +275,10 @@
 
     def _on_peer_records(self) -> None:
         self._loads.update_from_records()
-        for record, received_at in self._peers.table.told():
-            self._services.configuration.hear(record.configurations, received_at)
+        for record, received_at in self._peers.table.timed_records():
+            self._services.configuration.merge_versions(record.configurations, received_at)
         for record in self._peers.live():
-            self._services.weights.learn_ages(record.weights, self._loop.now())
+            self._services.weights.merge_ages(record.weights, self._loop.now())
             if record.lease_revision:
                 holder = f"{record.address}#{record.incarnation}"
                 self._lease.record_revision(
@@ -297,7 +299,7 @@
         if isinstance(decision, AdmittedRequest):
             self._forward(exchange, decision)
         elif decision.status in (401, 404):
-            self._denials.look_again(exchange, call)
+            self._denials.recheck(exchange, call)
         else:
             send_refusal(exchange, decision, call)
 
@@ -324,7 +326,7 @@
     def _is_ready(self) -> bool:
         if self._services.configuration.table is None or self._stop is not None:
             return False
-        return self._feed.copies[Dataset.RUNNERS].is_known
+        return self._feed.replicas[Dataset.RUNNERS].is_loaded
 
     # Reload and stop
 
@@ -347,7 +349,7 @@
         log_event("stopping", requests=len(self._forwarders))
         self._front.is_draining = True
         self._rollout.stop_by(self._stop.closes_idle_at)
-        self._peers.tell_now()
+        self._peers.broadcast_record()
 
     def _run_maintenance(self) -> None:
         now = self._loop.now()
@@ -356,9 +358,9 @@
             forwarder.move_off_replaced_runner()
         self._loads.repeat_reports()
         for instance in newly_unresponsive(self._services, now):
-            update = SilenceNews(self._peers.own.address, instance)
+            update = UnresponsiveRunnerUpdate(self._peers.own.address, instance)
             record_unresponsive(self._services, update, now)
-            self._peers.tell_all(update)
+            self._peers.broadcast(update)
         self._services.suspects.keep_house()
         self._services.runner_limits.repeat_broadcasts(now)
         self._blame_store.check()
--- a/src/martenrun/router/request_services.py
+++ b/src/martenrun/router/request_services.py
@@ -6,7 +6,6 @@
 
 from martenrun.identity.rendezvous import weight
 from martenrun.net.loop import Loop
-from martenrun.router.knowledge import ConfigurationKnowledge, RunnerDirectory, WeightsKnowledge
 from martenrun.router.messages import KvCacheStore, Route
 from martenrun.router.overload import OverloadGuard
 from martenrun.router.placement import Placement
@@ -17,6 +16,7 @@
 from martenrun.router.runner_pool import RunnerPool
 from martenrun.router.runner_state import RunnerState
 from martenrun.router.settings import RouterSettings
+from martenrun.router.store_state import ConfigurationState, RunnerDirectory, WeightsState
 from martenrun.router.suspects import Suspects
 from martenrun.router.tuning import TuningParameters
 
@@ -50,9 +50,9 @@
     loop: Loop
     settings: RouterSettings
     adapter: PlatformAdapter
-    configuration: ConfigurationKnowledge
+    configuration: ConfigurationState
     runners: RunnerDirectory
-    weights: WeightsKnowledge
+    weights: WeightsState
     pool: RunnerPool
     placement: Placement
     suspects: Suspects
--- a/src/martenrun/router/router_table.py
+++ b/src/martenrun/router/router_table.py
@@ -1,8 +1,8 @@
-"""The records of all routers: newer ones replace older ones, dead routers are noticed.
+"""The table of known routers: merges their records and detects dead routers.
 
-A record is told on with the age of its beat: the time since its own router raised it, added up over
-all routers that it has passed.  An age never falls by being told, so that nobody who forgets,
-starts or has stood still brings a departed router back.  Pure, apart from the times handed in.
+A record is forwarded with the age of its heartbeat: the time since the router advanced it, summed
+over all hops.  Forwarding never lowers an age, so no router that forgets, starts or was suspended
+can revive a departed one.  Free of I/O and clocks: callers pass in the time.
 """
 
 import math
@@ -10,165 +10,177 @@
 
 from martenrun.router.known_router import KnownRouter
 from martenrun.router.log import log_event, log_warning
-from martenrun.router.peer_messages import ReadingNews, RouterBeat, RouterRecord
+from martenrun.router.peer_messages import LoadUpdate, RouterHeartbeat, RouterRecord
 
 FULL_RATE_ROUTERS = 16
-SLOWEST_RATE = 2.0
-"""Above so many routers the interval grows with their number, up to SLOWEST_RATE times.
+MAX_SLOWDOWN = 2.0
+"""Above this many routers the gossip interval grows with their number, up to MAX_SLOWDOWN times.
 
-What a router receives then stays the same; at most the news of others gets older.
+The traffic that each router receives then stays constant, while records of others get older.
 """
 
-MOST_TOLD_ROUTERS = 100
-"""Up to so many routers all of them are told of a reading at once; then those of the own zone."""
+MAX_BROADCAST_ROUTERS = 100
+"""Up to this many routers each load update goes to all of them, above it to the own zone only."""
 
 DEAD_AFTER_S = 2.0
-"""Time without a newer record until a router of a small deployment counts as dead, in seconds."""
+"""Time without a newer heartbeat after which a router of a small deployment counts as dead."""
 
-MOST_SLOWNESS_OF_DEATH = 2.0
-"""How many times longer that is among many routers, at most."""
+MAX_DEAD_AFTER_SLOWDOWN = 2.0
+"""Maximum factor by which that time grows in a large deployment."""
 
-ON_ITS_WAY_S = 2.0
-"""Age up to which a newer record counts as risen just now, in seconds; see :meth:`_risen_at`.
+MAX_PROPAGATION_S = 2.0
+"""Maximum age at which a newer record counts as received in time, see :meth:`_liveness_time`.
 
-So long may a record of a living router of a small deployment be on its way, over many others.
+A live router's record may take this long over several hops in a small deployment, in seconds.
 """
 
-FORGOTTEN_AFTER_S = 20.0
-"""Time until a dead router is no longer counted among those that may spend retries, nor told of."""
+FORGET_AFTER_S = 20.0
+"""Time after which a dead router is neither counted for the retry budget nor gossiped about."""
 
-MOST_DEPARTED = 512
-"""Most forgotten routers whose last records are kept; the oldest give way.
+MAX_DEPARTED = 512
+"""Maximum number of forgotten routers whose last records are kept; the oldest are dropped first.
 
-A copy of a record may still be on its way long after its router was forgotten, in the buffer of a
-machine that stood still, say.  Who did not know it any more would take it for a new router.
+A copy of a record may arrive long after its router was forgotten, for example from the buffer of a
+suspended machine.  Without the kept record it would look like a new router.
 """
 
-OVERTAKEN = sys.maxsize
-"""Last beat of a life that a later one at its address has followed."""
+SUPERSEDED = sys.maxsize
+"""Last heartbeat of an incarnation that was replaced by a later one at its address."""
 
 MS_PER_S = 1000.0
 
 
 class RouterTable:
-    """The records of all routers: pure, apart from the times handed in."""
+    """Records of all known routers."""
 
     def __init__(self, own: RouterRecord) -> None:
         self.own = own
         self._known: dict[str, KnownRouter] = {}
-        self._by_life: dict[int, KnownRouter] = {}
+        self._by_incarnation_id: dict[int, KnownRouter] = {}
         self._departed: dict[str, RouterRecord] = {}
-        self._ended_lives: dict[int, int] = {}
-        self._slowness = 1.0
+        self._retired_incarnations: dict[int, int] = {}
+        self._slowdown = 1.0
 
     def merge(self, records: list[RouterRecord], now: float, late_s: float = 0.0) -> None:
-        """Take in records, the teller's first.
+        """Merge records, the sender's first.
 
-        A record of this router's address from another life is refuted.
+        A record of this router's address with a higher incarnation is outdated; the own incarnation
+        is raised above it.
 
         Args:
-            late_s: how long the records may have waited here unread, in seconds.
+            late_s: how long the records may have waited unread on this router, in seconds.
         """
-        teller = records[0].address if records else ""
+        sender = records[0].address if records else ""
         for record in records:
             if record.address == self.own.address:
                 if record.incarnation > self.own.incarnation:
                     self.own.incarnation = record.incarnation + 1
                 continue
-            beaten_at = now - late_s - record.age_ms / MS_PER_S
+            heartbeat_at = now - late_s - record.age_ms / MS_PER_S
             known = self._known.get(record.address)
             if known is None:
-                self._take_unknown(record, beaten_at, teller, now)
+                self._add_unknown(record, heartbeat_at, sender, now)
             elif record.incarnation > known.record.incarnation:
-                self._add(record, beaten_at, now)
+                self._add(record, heartbeat_at, now)
             elif record.incarnation == known.record.incarnation:
-                known.hear(record.beat, beaten_at, self._risen_at(beaten_at, now))
-                if record.beat > known.record.beat:
-                    known.take_record(record, beaten_at)
+                known.merge_heartbeat(
+                    record.heartbeat, heartbeat_at, self._liveness_time(heartbeat_at, now)
+                )
+                if record.heartbeat > known.record.heartbeat:
+                    known.replace_record(record, heartbeat_at)
 
-    def merge_beats(self, beats: list[RouterBeat], now: float, late_s: float = 0.0) -> list[int]:
-        """Take in beats of routers whose records are known; see :meth:`merge`.
+    def merge_heartbeats(
+        self, heartbeats: list[RouterHeartbeat], now: float, late_s: float = 0.0
+    ) -> list[int]:
+        """Merge heartbeats of routers whose records are known; see :meth:`merge`.
 
         Returns:
-            Lives that go on, as far as their beats tell, and whose records are lacking.
+            IDs of live incarnations whose records are missing.
         """
-        lacking = []
-        for told in beats:
-            known = self._by_life.get(told.life)
-            beaten_at = now - late_s - told.age_ms / MS_PER_S
+        missing = []
+        for heartbeat in heartbeats:
+            known = self._by_incarnation_id.get(heartbeat.incarnation_id)
+            heartbeat_at = now - late_s - heartbeat.age_ms / MS_PER_S
             if known is not None:
-                known.hear(told.beat, beaten_at, self._risen_at(beaten_at, now))
-            elif told.beat > self._ended_lives.get(told.life, -1) and (
-                now - beaten_at <= FORGOTTEN_AFTER_S
-            ):
-                lacking.append(told.life)
-        return lacking
-
-    def records_of(self, lives: list[int], now: float) -> list[RouterRecord]:
-        """Return the records of lives that are known, with the ages of their beats."""
-        found = [self._by_life[life] for life in lives if life in self._by_life]
+                known.merge_heartbeat(
+                    heartbeat.heartbeat, heartbeat_at, self._liveness_time(heartbeat_at, now)
+                )
+            elif heartbeat.heartbeat > self._retired_incarnations.get(
+                heartbeat.incarnation_id, -1
+            ) and (now - heartbeat_at <= FORGET_AFTER_S):
+                missing.append(heartbeat.incarnation_id)
+        return missing
+
+    def records_of(self, incarnation_ids: list[int], now: float) -> list[RouterRecord]:
+        """Return the known records of these incarnations, with the ages of their heartbeats."""
+        found = [
+            self._by_incarnation_id[item]
+            for item in incarnation_ids
+            if item in self._by_incarnation_id
+        ]
         for known in found:
-            known.record.age_ms = _age_ms(known.told_at, now)
+            known.record.age_ms = _age_ms(known.record_at, now)
         return [known.record for known in found]
 
-    def knows(self, record: RouterRecord) -> bool:
-        """Whether the life of a router that a record is of is known, or a later one."""
+    def knows_incarnation(self, record: RouterRecord) -> bool:
+        """Return whether the record's incarnation, or a later one at its address, is known."""
         if record.address == self.own.address:
             return True
         known = self._known.get(record.address)
         return known is not None and known.record.incarnation >= record.incarnation
 
-    def _add(self, record: RouterRecord, beaten_at: float, now: float) -> None:
-        """Put a router into the table, in place of an earlier life at its address."""
+    def _add(self, record: RouterRecord, heartbeat_at: float, now: float) -> None:
+        """Add a router, replacing an earlier incarnation at its address."""
         earlier = self._known.get(record.address)
         if earlier is not None:
-            self._end_life(earlier, OVERTAKEN)
-        known = KnownRouter(record, beaten_at, self._risen_at(beaten_at, now))
+            self._retire_incarnation(earlier, SUPERSEDED)
+        known = KnownRouter(record, heartbeat_at, self._liveness_time(heartbeat_at, now))
         self._known[record.address] = known
-        self._by_life[known.life] = known
+        self._by_incarnation_id[known.incarnation_id] = known
 
-    def _end_life(self, known: KnownRouter, last_beat: int) -> None:
-        """Take a life's later beats than its last one for news only."""
-        del self._by_life[known.life]
-        self._ended_lives[known.life] = last_beat
-        while len(self._ended_lives) > MOST_DEPARTED:
-            del self._ended_lives[next(iter(self._ended_lives))]
+    def _retire_incarnation(self, known: KnownRouter, last_heartbeat: int) -> None:
+        """Remove an incarnation; only heartbeats above ``last_heartbeat`` can bring it back."""
+        del self._by_incarnation_id[known.incarnation_id]
+        self._retired_incarnations[known.incarnation_id] = last_heartbeat
+        while len(self._retired_incarnations) > MAX_DEPARTED:
+            del self._retired_incarnations[next(iter(self._retired_incarnations))]
 
-    def _take_unknown(
-        self, record: RouterRecord, beaten_at: float, teller: str, now: float
+    def _add_unknown(
+        self, record: RouterRecord, heartbeat_at: float, sender: str, now: float
     ) -> None:
-        """Take in a router not counted so far, unless it is known to have been dead for long."""
+        """Add an unknown router, unless it has been dead for long."""
         departed = self._departed.get(record.address)
-        if departed is not None and _order(record) <= _order(departed):
+        if departed is not None and _version(record) <= _version(departed):
             return
-        if now - beaten_at > FORGOTTEN_AFTER_S:
+        if now - heartbeat_at > FORGET_AFTER_S:
             return
         self._departed.pop(record.address, None)
-        self._add(record, beaten_at, now)
+        self._add(record, heartbeat_at, now)
         log_event(
             "router_heard",
             address=record.address,
             zone=record.zone,
-            told_by=teller,
+            told_by=sender,
             incarnation=record.incarnation,
-            beat=record.beat,
-            age_ms=round((now - beaten_at) * MS_PER_S),
+            beat=record.heartbeat,
+            age_ms=round((now - heartbeat_at) * MS_PER_S),
         )
 
-    def _risen_at(self, beaten_at: float, now: float) -> float:
-        """Return when a newer record counts as risen.
+    def _liveness_time(self, heartbeat_at: float, now: float) -> float:
+        """Return the time from which the silence of a newer record's router is counted.
 
-        A record passes many routers until all have it, the more the larger the deployment, so that
-        its age says little while it is small.  Older ones were not on their way, but kept by
-        somebody: they count from their beat.
+        A record takes several hops to reach all routers, more in a larger deployment, so a small
+        age says little.  Older records were not in transit but stored by some router: for these
+        the heartbeat's own time counts.
         """
-        on_its_way_s = ON_ITS_WAY_S * self.slowness()
-        return now if now - beaten_at <= on_its_way_s else beaten_at
+        on_its_way_s = MAX_PROPAGATION_S * self.slowdown()
+        return now if now - heartbeat_at <= on_its_way_s else heartbeat_at
 
-    def later_life(self, record: RouterRecord) -> RouterRecord | None:
-        """Return what is known of a later life at a record's address, or None.
+    def later_incarnation(self, record: RouterRecord) -> RouterRecord | None:
+        """Return the newest known record of a later incarnation at the record's address, or None.
 
-        A router whose wall clock went back begins below its last life and has to hear of that.
+        A router whose wall clock went back starts with an incarnation below its last one and must
+        be sent this record.
         """
         known = self._known.get(record.address)
         newest = self._departed.get(record.address) if known is None else known.record
@@ -176,25 +188,27 @@
             return None
         return newest
 
-    def take_reading(self, news: ReadingNews, now: float, late_s: float = 0.0) -> bool:
-        """Take in another router's load at one runner; return whether it was newer.
+    def merge_load(self, update: LoadUpdate, now: float, late_s: float = 0.0) -> bool:
+        """Merge another router's load on one runner; return whether it was newer.
 
         Args:
-            late_s: how long the news may have waited here unread, in seconds.
+            late_s: how long the update may have waited unread on this router, in seconds.
         """
-        known = self._known.get(news.address)
-        if known is None or news.incarnation != known.record.incarnation:
+        known = self._known.get(update.address)
+        if known is None or update.incarnation != known.record.incarnation:
             return False
-        if news.beat <= known.record.beat:
+        if update.heartbeat <= known.record.heartbeat:
             return False
-        beaten_at = now - late_s
-        known.record.beat = news.beat
+        heartbeat_at = now - late_s
+        known.record.heartbeat = update.heartbeat
         for instance in known.record.loads:
-            known.readings_at.setdefault(instance, known.told_at)
-        known.record.loads[news.instance] = news.load
-        known.readings_at[news.instance] = beaten_at
-        known.told_at = beaten_at
-        known.hear(news.beat, beaten_at, self._risen_at(beaten_at, now))
+            known.readings_at.setdefault(instance, known.record_at)
+        known.record.loads[update.instance] = update.load
+        known.readings_at[update.instance] = heartbeat_at
+        known.record_at = heartbeat_at
+        known.merge_heartbeat(
+            update.heartbeat, heartbeat_at, self._liveness_time(heartbeat_at, now)
+        )
         return True
 
     def live(self, now: float) -> list[RouterRecord]:
@@ -205,26 +219,26 @@
         ]
 
     def silent_since(self, now: float) -> list[float]:
-        """Return when each router that counts as dead was last heard of, in steady seconds."""
+        """Return the monotonic time of the last sign of life of each router that counts as dead."""
         dead_after_s = self._dead_after_s()
         return [
             known.risen_at for known in self._known.values() if now - known.risen_at > dead_after_s
         ]
 
-    def told(self) -> list[tuple[RouterRecord, float]]:
-        """Return the records of all routers known, each with when its router told it."""
-        return [(known.record, known.told_at) for known in self._known.values()]
+    def timed_records(self) -> list[tuple[RouterRecord, float]]:
+        """Return the records of all known routers, each with the time of its heartbeat."""
+        return [(known.record, known.record_at) for known in self._known.values()]
 
     def _dead_after_s(self) -> float:
-        return DEAD_AFTER_S * min(MOST_SLOWNESS_OF_DEATH, self.slowness())
+        return DEAD_AFTER_S * min(MAX_DEAD_AFTER_SLOWDOWN, self.slowdown())
 
-    def note_changes(self, now: float) -> None:
-        """Count the living, end old readings, log who counts as dead now, or as alive again."""
+    def update_liveness(self, now: float) -> None:
+        """Update the live count, expire old prefill loads and log changes in liveness."""
         for known in self._known.values():
-            known.end_readings(now)
-        longest_s = DEAD_AFTER_S * MOST_SLOWNESS_OF_DEATH
+            known.expire_prefill(now)
+        longest_s = DEAD_AFTER_S * MAX_DEAD_AFTER_SLOWDOWN
         living = sum(now - known.risen_at <= longest_s for known in self._known.values())
-        self._slowness = _slowness(1 + living)
+        self._slowdown = _slowdown(1 + living)
         dead_after_s = self._dead_after_s()
         for address, known in self._known.items():
             silent_s = now - known.risen_at
@@ -232,25 +246,25 @@
             if is_alive != known.was_alive:
                 known.was_alive = is_alive
                 event = "router_back" if is_alive else "router_silent"
-                beat, incarnation = known.beat, known.record.incarnation
+                heartbeat, incarnation = known.heartbeat, known.record.incarnation
                 log_event(
                     event,
                     address=address,
                     silent_ms=round(silent_s * MS_PER_S),
                     incarnation=incarnation,
-                    beat=beat,
+                    beat=heartbeat,
                 )
 
-    def oldest_alive_s(self, now: float) -> float:
-        """Return for how long the most silent of the routers that count as alive has not risen."""
+    def max_live_silence_s(self, now: float) -> float:
+        """Return the longest silence among the routers that count as alive, in seconds."""
         dead_after_s = self._dead_after_s()
         silent_s = [now - known.risen_at for known in self._known.values()]
         return max((item for item in silent_s if item <= dead_after_s), default=0.0)
 
-    def newest(self, count: int, now: float) -> list[RouterRecord]:
-        """Return records with the ages of their beats: of routers with a duty, then the newest.
+    def select_records(self, count: int, now: float) -> list[RouterRecord]:
+        """Return records with the ages of their heartbeats: routers with a duty, then the newest.
 
-        Whoever does not hear of those that read the store or order weights would do so as well.
+        A router that does not know the store readers or the lease holder would take over the duty.
         """
 
         def order(known: KnownRouter) -> tuple[bool, float]:
@@ -260,31 +274,31 @@
 
         ordered = sorted(self._known.values(), key=order, reverse=True)
         for known in ordered[:count]:
-            known.record.age_ms = _age_ms(known.told_at, now)
+            known.record.age_ms = _age_ms(known.record_at, now)
         return [known.record for known in ordered[:count]]
 
-    def beats(self, most: int, now: float) -> list[RouterBeat]:
-        """Return the last beats of the routers that are alive, those noticed last first.
+    def live_heartbeats(self, limit: int, now: float) -> list[RouterHeartbeat]:
+        """Return the latest heartbeats of the live routers, the most recent first.
 
-        Among many routers a datagram holds few of the records, so that most would be old before
-        they have passed everybody; beats are short enough to tell all.
+        In a large deployment a datagram holds only some of the records, so most would be outdated
+        before they have reached every router.  Heartbeats are short enough to be sent for all.
         """
         dead_after_s = self._dead_after_s()
         alive = [known for known in self._known.values() if now - known.risen_at <= dead_after_s]
         alive.sort(key=lambda known: known.risen_at, reverse=True)
         return [
-            RouterBeat(known.life, known.beat, _age_ms(known.beaten_at, now))
-            for known in alive[:most]
+            RouterHeartbeat(known.incarnation_id, known.heartbeat, _age_ms(known.beaten_at, now))
+            for known in alive[:limit]
         ]
 
     def addresses(self) -> list[str]:
-        """Return the addresses of all routers ever heard of and not forgotten."""
+        """Return the addresses of all known routers that have not been forgotten."""
         return list(self._known)
 
-    def told_at_once(self) -> list[str]:
-        """Return the addresses of the routers that hear of each reading at once.
+    def load_update_addresses(self) -> list[str]:
+        """Return the addresses of the routers that receive load updates at once.
 
-        Those of the own zone only where there are very many: what each hears stays bounded.
+        In a large deployment only the own zone, to bound the traffic that each router receives.
         """
         if not self.is_large():
             return self.addresses()
@@ -292,49 +306,49 @@
         return [address for address, known in self._known.items() if known.record.zone == zone]
 
     def is_large(self) -> bool:
-        """Whether there are too many routers for all to be told of everything."""
-        return self.count() > MOST_TOLD_ROUTERS
+        """Return whether there are too many routers to send every update to all of them."""
+        return self.count() > MAX_BROADCAST_ROUTERS
 
     def forget_dead(self, now: float) -> None:
-        """Drop routers that have been dead for long."""
+        """Forget routers that have been dead for long."""
         for address, known in list(self._known.items()):
-            if now - known.risen_at > FORGOTTEN_AFTER_S:
+            if now - known.risen_at > FORGET_AFTER_S:
                 del self._known[address]
-                self._end_life(known, known.beat)
-                known.record.beat = known.beat
+                self._retire_incarnation(known, known.heartbeat)
+                known.record.heartbeat = known.heartbeat
                 self._departed[address] = known.record
                 log_warning("router_forgotten", address=address)
-        while len(self._departed) > MOST_DEPARTED:
+        while len(self._departed) > MAX_DEPARTED:
             del self._departed[next(iter(self._departed))]
 
-    def slowness(self) -> float:
-        """Return how much longer intervals are than in a small deployment.
+    def slowdown(self) -> float:
+        """Return the factor by which intervals are longer than in a small deployment.
 
-        It goes by the routers that live: those that left shortly do not slow the others down.
+        Only live routers count: those that left recently must not slow down the gossip.
         """
-        return self._slowness
+        return self._slowdown
 
     def count(self) -> int:
-        """Return how many routers there may be, this one included."""
+        """Return the number of known routers, including this one."""
         return 1 + len(self._known)
 
 
-def longest_named_s(routers: int) -> float:
-    """Return for how long after its last beat a router may count as alive, in seconds.
+def max_detection_s(routers: int) -> float:
+    """Return for how long after its last heartbeat a router may count as alive, in seconds.
 
-    Not counted is what a record spends on links on its way.
+    Network delays of the record are not included.
     """
-    slowness = _slowness(routers)
-    return ON_ITS_WAY_S * slowness + DEAD_AFTER_S * min(MOST_SLOWNESS_OF_DEATH, slowness)
+    slowdown = _slowdown(routers)
+    return MAX_PROPAGATION_S * slowdown + DEAD_AFTER_S * min(MAX_DEAD_AFTER_SLOWDOWN, slowdown)
 
 
-def _slowness(routers: int) -> float:
-    return min(SLOWEST_RATE, max(1.0, routers / FULL_RATE_ROUTERS))
+def _slowdown(routers: int) -> float:
+    return min(MAX_SLOWDOWN, max(1.0, routers / FULL_RATE_ROUTERS))
 
 
-def _age_ms(beaten_at: float, now: float) -> int:
-    return max(0, math.ceil((now - beaten_at) * MS_PER_S))
+def _age_ms(heartbeat_at: float, now: float) -> int:
+    return max(0, math.ceil((now - heartbeat_at) * MS_PER_S))
 
 
-def _order(record: RouterRecord) -> tuple[int, int]:
-    return record.incarnation, record.beat
+def _version(record: RouterRecord) -> tuple[int, int]:
+    return record.incarnation, record.heartbeat
--- a/src/martenrun/router/runner_request.py
+++ b/src/martenrun/router/runner_request.py
@@ -29,7 +29,7 @@
     """Return the placement query for a request."""
     now = services.loop.now()
     call = admitted.call
-    target = services.weights.wanted.get(call.model) if call.model else None
+    target = services.weights.targets.get(call.model) if call.model else None
     return PlacementQuery(
         parts=call.parts,
         needed_tokens=call.prompt_tokens + EXPECTED_OUTPUT_TOKENS,
--- a/src/martenrun/router/knowledge_feed.py
+++ b/src/martenrun/router/store_state_feed.py
@@ -1,21 +1,21 @@
-"""Feeds what is read of the platform's store into the router's knowledge."""
+"""Applies changes in the platform's store to the router's state."""
 
 from collections.abc import Callable, Mapping
 
-from martenrun.router.dataset_copy import CopyListener, DatasetCopy
-from martenrun.router.knowledge import decoded
+from martenrun.router.dataset_replica import DatasetReplica, ReplicaListener
 from martenrun.router.messages import Dataset, StoredObject
 from martenrun.router.metrics import Metrics
 from martenrun.router.request_services import RequestServices
+from martenrun.router.store_state import decode_or_log
 
 
-class KnowledgeFeed:
-    """The copies of the store's datasets, and what becomes of their changes.
+class StoreStateFeed:
+    """Replicas of the store's datasets, and the handlers of their changes.
 
-    Objects that cannot be read are counted as ``objects_unreadable``.
+    Objects that cannot be decoded are counted as ``objects_unreadable``.
 
     Args:
-        on_runners_settled: called after changes of runners have been taken in.
+        on_runners_settled: called after changes of runners have been applied.
     """
 
     def __init__(
@@ -25,38 +25,38 @@
         self._metrics = metrics
         self._newest_revision = 0
         listeners = {
-            Dataset.CONFIGURATION: CopyListener(self.put_configuration, _ignored, _nothing),
-            Dataset.RUNNERS: CopyListener(
+            Dataset.CONFIGURATION: ReplicaListener(self.put_configuration, _ignore, _nothing),
+            Dataset.RUNNERS: ReplicaListener(
                 self._put_runner, world.runners.remove, on_runners_settled
             ),
-            Dataset.WEIGHTS: CopyListener(self._put_weights, _ignored, _nothing),
-            Dataset.CRASH_RECORDS: CopyListener(self._put_blame, _ignored, _nothing),
+            Dataset.WEIGHTS: ReplicaListener(self._put_weights, _ignore, _nothing),
+            Dataset.CRASH_RECORDS: ReplicaListener(self._put_blame, _ignore, _nothing),
         }
-        self.copies: Mapping[Dataset, DatasetCopy] = {
-            dataset: DatasetCopy(dataset, listener) for dataset, listener in listeners.items()
+        self.replicas: Mapping[Dataset, DatasetReplica] = {
+            dataset: DatasetReplica(dataset, listener) for dataset, listener in listeners.items()
         }
 
     def confirm(self) -> None:
-        """Take in when the copy of the configuration was last confirmed."""
-        confirmed_at = self.copies[Dataset.CONFIGURATION].confirmed_at
+        """Record when the replica of the configuration was last confirmed."""
+        confirmed_at = self.replicas[Dataset.CONFIGURATION].confirmed_at
         if confirmed_at is not None:
             self._world.configuration.confirm(confirmed_at)
 
     def put_configuration(self, stored: StoredObject) -> None:
-        """Put a configuration in force, unless it cannot be read or a newer one has come."""
+        """Put a configuration in force, unless it cannot be decoded or a newer one is known."""
         if stored.revision < self._newest_revision:
             return
         self._newest_revision = stored.revision
-        configuration = decoded(stored, self._world.adapter.read_configuration)
+        configuration = decode_or_log(stored, self._world.adapter.read_configuration)
         if configuration is None:
             self._count_unreadable(Dataset.CONFIGURATION)
-            self._world.configuration.note_unreadable()
+            self._world.configuration.mark_unreadable()
         else:
-            self._world.configuration.take(configuration)
+            self._world.configuration.put(configuration)
 
     def _put_runner(self, stored: StoredObject) -> None:
-        """Take an entry in; one that cannot be read names no runner, whatever it named before."""
-        runner = decoded(stored, self._world.adapter.read_runner)
+        """Update a runner; an entry that cannot be decoded removes the runner it listed before."""
+        runner = decode_or_log(stored, self._world.adapter.read_runner)
         if runner is None:
             self._count_unreadable(Dataset.RUNNERS)
             self._world.runners.remove(stored.name)
@@ -64,14 +64,14 @@
             self._world.runners.put(runner)
 
     def _put_weights(self, stored: StoredObject) -> None:
-        wanted = decoded(stored, self._world.adapter.read_weights)
-        if wanted is None:
+        target = decode_or_log(stored, self._world.adapter.read_weights)
+        if target is None:
             self._count_unreadable(Dataset.WEIGHTS)
         else:
-            self._world.weights.take(wanted, self._world.loop.now())
+            self._world.weights.put(target, self._world.loop.now())
 
     def _put_blame(self, stored: StoredObject) -> None:
-        records = decoded(stored, self._world.adapter.read_crash_records)
+        records = decode_or_log(stored, self._world.adapter.read_crash_records)
         if records is None:
             self._count_unreadable(Dataset.CRASH_RECORDS)
         else:
@@ -81,7 +81,7 @@
         self._metrics.count("objects_unreadable", dataset=dataset.value)
 
 
-def _ignored(_name: str) -> None:
+def _ignore(_name: str) -> None:
     return None
 
 
--- /dev/null
+++ b/src/martenrun/router/store_sync.py
@@ -0,0 +1,258 @@
+"""Keeps a router's replicas of the store's datasets current, from the store or from a reader."""
+
+import random
+from collections.abc import Callable, Mapping, Sequence
+
+import attrs
+
+from martenrun.net.loop import Loop
+from martenrun.router.dataset_replica import DatasetReplica
+from martenrun.router.log import log_event
+from martenrun.router.messages import Dataset
+from martenrun.router.peers import Peers
+from martenrun.router.platform_adapter import PlatformAdapter
+from martenrun.router.relay import MAX_RELAYED_AGE_S, RelayServer
+from martenrun.router.relay_follower import RelayFollower
+from martenrun.router.store_client import HttpClient
+from martenrun.router.store_readers import Candidate, ReadPlan, ReadPlanner
+from martenrun.router.store_watch import FollowSettings, StoreFollower
+
+CHECK_S = 0.2
+"""Interval between two read plans, in seconds."""
+
+LOST_MEMORY_S = 5.0
+"""How long a router that lost the store is not chosen as a store reader, in seconds."""
+
+PAUSE_STEP_S = 0.1
+LONGEST_PAUSE_S = 0.4
+"""Pause before another router is queried, per consecutive failure after the first, in seconds.
+
+When many routers start at once, or the store is down, none has current state: without the pause
+each would query all others in turn.
+"""
+
+WATCH_WAITS_S = {
+    Dataset.CONFIGURATION: 0.8,
+    Dataset.RUNNERS: 2.0,
+    Dataset.WEIGHTS: 2.5,
+    Dataset.CRASH_RECORDS: 10.0,
+}
+"""How long one watch of each dataset waits, in seconds.
+
+The result of a watch is as old as its request, so state can become as old as two waits.  Routers
+broadcast crash-causing requests; the blame watch only serves routers that join later.
+"""
+
+WATCH_DELAYS_S = {Dataset.RUNNERS: 0.2}
+"""How long the next watch of a dataset is delayed after changes, in seconds.
+
+Many runners change at once when they start or load weights; each change would end a watch and cause
+a response to every follower.  With ten changes a second two readers make 13 calls a second instead
+of 24, and each follower sends 5 queries instead of 10 (60 routers in virtual time).  In return,
+removed runners are noticed 0.2 s later.
+"""
+
+
+@attrs.frozen
+class StoreSyncParts:
+    """Collaborators of :class:`StoreSync`.
+
+    Attributes:
+        seeds: addresses of routers to query while no other one is known.
+        make_client: creates the client for one address.
+        rng: chooses the routers to query, and when to read if none can be reached.
+    """
+
+    loop: Loop
+    store: HttpClient
+    adapter: PlatformAdapter
+    replicas: Mapping[Dataset, DatasetReplica]
+    peers: Peers
+    seeds: Sequence[str] = ()
+    make_client: Callable[[Loop, str], HttpClient] = HttpClient
+    rng: random.Random = attrs.field(factory=random.Random)
+
+
+class StoreSync:
+    """Runs the followers of the store and of other routers.
+
+    Args:
+        on_confirmed: called after each response that was applied.
+    """
+
+    def __init__(self, parts: StoreSyncParts, on_confirmed: Callable[[], None]) -> None:
+        self._loop = parts.loop
+        self._peers = parts.peers
+        self._replicas = parts.replicas
+        self._on_confirmed = on_confirmed
+        own = parts.peers.own
+        self._planner = ReadPlanner(own.address, self._loop.now(), parts.seeds, parts.rng)
+        self._lost_at: float | None = None
+        self._source_address: str | None = None
+        self._reads_store = False
+        self._is_reading_announced = False
+        self._failures = 0
+        self._query_from = 0.0
+        self.relay = RelayServer(
+            self._loop,
+            parts.replicas,
+            own.incarnation,
+            self._may_relay,
+            self._is_failing_to_read,
+            lambda: self._is_current(),
+        )
+        self._relay_follower = RelayFollower(
+            self._loop,
+            parts.replicas,
+            lambda: self._source_address,
+            self._on_relayed,
+            self._on_relay_failed,
+            lambda: self._planner.record_partial_response(self._loop.now()),
+            parts.make_client,
+        )
+        self._followers = [
+            StoreFollower(
+                self._loop,
+                parts.store,
+                parts.adapter,
+                FollowSettings(wait_s, WATCH_DELAYS_S.get(dataset, 0.0)),
+                parts.replicas[dataset],
+                self._on_read,
+            )
+            for dataset, wait_s in WATCH_WAITS_S.items()
+        ]
+
+    @property
+    def _has_all_datasets(self) -> bool:
+        return all(replica.is_loaded for replica in self._replicas.values())
+
+    @property
+    def has_lost_store(self) -> bool:
+        """Whether a call of this router to the store failed recently."""
+        return self._lost_at is not None and self._loop.now() - self._lost_at < LOST_MEMORY_S
+
+    def record_store_failure(self) -> None:
+        """Record that another call to the store failed."""
+        self._lost_at = self._loop.now()
+
+    @property
+    def reads_store(self) -> bool:
+        """Whether this router is a store reader and receives responses."""
+        return self._reads_store and self._is_current()
+
+    def start(self) -> None:
+        """Start the periodic planning."""
+        self._check()
+
+    def _check(self) -> None:
+        now = self._loop.now()
+        if any(item.is_failing or item.is_overdue(now) for item in self._followers):
+            self._mark_store_lost(now)
+        for replica in self._replicas.values():
+            replica.drop_missing(now)
+        self._plan(now)
+        self._loop.call_later(CHECK_S, self._check)
+
+    def _mark_store_lost(self, now: float) -> None:
+        """Broadcast at once that this router cannot read for others."""
+        is_first = not self.has_lost_store
+        self._lost_at = now
+        if is_first:
+            self._peers.broadcast_record()
+            self.relay.refuse_pending()
+
+    def _plan_source(self, now: float) -> ReadPlan:
+        own = self._peers.own
+        followed = self._source_address if self._relay_follower.follows_reader() else None
+        candidates = [
+            Candidate(own.address, not self.has_lost_store, self._reads_store, own.capacity)
+        ]
+        candidates += [
+            Candidate(
+                record.address,
+                not record.has_lost_store,
+                record.reads_store or record.address == followed,
+                record.capacity,
+            )
+            for record in self._peers.live()
+            if not record.is_leaving
+        ]
+        plan = self._planner.plan(candidates, now, self._has_all_datasets)
+        self._source_address = plan.source
+        return plan
+
+    def _plan(self, now: float) -> None:
+        plan = self._plan_source(now)
+        if plan.reads_store != self._reads_store:
+            log_event("reading_changed", reads_store=plan.reads_store, source=plan.source)
+            self._reads_store = plan.reads_store
+            self._is_reading_announced = False
+        if plan.reads_store:
+            for follower in self._followers:
+                follower.start()
+        elif self.has_lost_store:
+            # Other readers try instead.  With responses, reading would go on until another router
+            # has newer state.
+            self._stop_reading()
+        if self._source_address is None:
+            self._relay_follower.stop()
+        elif now >= self._query_from:
+            self._relay_follower.start()
+
+    def _stop_reading(self) -> None:
+        for follower in self._followers:
+            follower.stop()
+
+    def _is_failing_to_read(self) -> bool:
+        """Return whether this router's requests to the store fail.
+
+        A router that has stopped sending requests must not claim this: all routers would wait for
+        each other's refusals, and no router would query the store while these are remembered (5 s
+        after an outage).
+        """
+        return self._reads_store and not self._is_current()
+
+    def _is_current(self) -> bool:
+        return all(item.is_current for item in self._followers)
+
+    def _may_relay(self) -> bool:
+        """Return whether this router relays state: if it is a reader or follows one.
+
+        Router tables differ for moments, mostly in large deployments, so a router may be queried
+        although it is no reader.  Followers of such a router do not relay, which prevents cycles.
+        """
+        if self.has_lost_store:
+            return False
+        if not self._is_current() and not self._relay_follower.follows_reader():
+            return False
+        confirmed_at = self._replicas[Dataset.CONFIGURATION].confirmed_at
+        return confirmed_at is not None and self._loop.now() - confirmed_at < MAX_RELAYED_AGE_S
+
+    def _on_read(self) -> None:
+        self._lost_at = None
+        if self.reads_store and not self._is_reading_announced:
+            # Until they learn of it, other routers start to read as well.
+            self._is_reading_announced = True
+            self._peers.broadcast_record()
+        self.relay.respond_with_changes()
+        self._on_confirmed()
+
+    def _on_relayed(self) -> None:
+        self._planner.record_response(self._loop.now())
+        self.relay.respond_with_changes()
+        self._failures = 0
+        if not self._reads_store:
+            self._stop_reading()
+        self._on_confirmed()
+
+    def _on_relay_failed(self, address: str, has_lost_store: bool) -> None:
+        now = self._loop.now()
+        self.relay.refuse_pending()
+        if has_lost_store:
+            # That router reads as well as any can: no reason to query the store from here too.
+            self._planner.record_response(now, is_served=False)
+        if not has_lost_store or not self._has_all_datasets:
+            self._planner.record_failure(address, now)
+        self._failures += 1
+        self._query_from = now + min(LONGEST_PAUSE_S, PAUSE_STEP_S * (self._failures - 1))
+        self._plan(now)
--- a/src/martenrun/router/store_watch.py
+++ b/src/martenrun/router/store_watch.py
@@ -1,4 +1,4 @@
-"""Following one dataset of the platform's store: a list, then watches, again after any loss."""
+"""Follows one dataset of the platform's store: a list, then watches; relists after a loss."""
 
 import random
 from collections.abc import Callable
@@ -7,39 +7,38 @@
 
 from martenrun.net.http import STATUS_OK, HttpResponse
 from martenrun.net.loop import Loop
-from martenrun.router.dataset_copy import DatasetCopy
+from martenrun.router.dataset_replica import DatasetReplica
 from martenrun.router.log import log_event, log_warning
 from martenrun.router.messages import StoredObject, UnreadableError
 from martenrun.router.platform_adapter import PlatformAdapter
-from martenrun.router.store_client import HttpCaller
+from martenrun.router.store_client import HttpClient
 
-ANSWER_TIMEOUT_S = 0.9
-"""How long an answer may not even begin beyond the time that a watch asks for, in seconds."""
+RESPONSE_TIMEOUT_S = 0.9
+"""Timeout for the start of a response beyond the requested wait of a watch, in seconds."""
 
 FIRST_PAUSE_S = 0.08
 LONGEST_PAUSE_S = 0.6
-"""Pauses between failed calls; they double, and each is drawn from half of it to all."""
+"""Pauses between failed calls, in seconds; they double, with a jitter of half to all of each."""
 
-OVERDUE_S = 0.3
-"""How much later than usual an answer may come before the store counts as lost, in seconds."""
+OVERDUE_MARGIN_S = 0.3
+"""Delay beyond the usual one after which the store counts as lost, in seconds."""
 
 DELAY_WEIGHT = 0.3
-"""Weight of the newest delay in the mean delay of answers."""
+"""Weight of the latest delay in the moving average of response delays."""
 
 OUTAGE_MEMORY_S = 2.0
-"""How long after its return the store may miss objects that are not gone, in seconds."""
+"""How long after an outage the store may miss objects that were not deleted, in seconds."""
 
 HTTP_GONE = 410
 
 
 @attrs.frozen
 class FollowSettings:
-    """How one dataset is followed.
+    """Settings for following one dataset.
 
     Attributes:
         wait_s: how long one watch waits for changes.
-        rest_s: how long after changes the next watch is sent: what changes meanwhile comes in one
-            answer.
+        rest_s: how long the next watch is delayed after changes, to batch those that follow.
     """
 
     wait_s: float
@@ -47,33 +46,33 @@
 
 
 class StoreFollower:
-    """Keeps a copy of one dataset current from the store, while it is wanted.
+    """Keeps a replica of one dataset current from the store while running.
 
     Args:
-        on_taken: called after each answer that was taken in whole.
+        on_applied: called after each response that was applied completely.
     """
 
     def __init__(
         self,
         loop: Loop,
-        store: HttpCaller,
-        dialect: PlatformAdapter,
+        store: HttpClient,
+        adapter: PlatformAdapter,
         cfg: FollowSettings,
-        copy: DatasetCopy,
-        on_taken: Callable[[], None],
+        replica: DatasetReplica,
+        on_applied: Callable[[], None],
     ) -> None:
         self._loop = loop
         self._store = store
-        self._dialect = dialect
+        self._adapter = adapter
         self._cfg = cfg
-        self._copy = copy
-        self._on_taken = on_taken
+        self._replica = replica
+        self._on_applied = on_applied
         self._listed: list[StoredObject] = []
         self._list_revision: int | None = None
         self._pause_s = FIRST_PAUSE_S
         self._failures = 0
         self._returned_at: float | None = None
-        self._round = 0
+        self._generation = 0
         self._due_at: float | None = None
         self._delay_s = 0.0
         self.is_running = False
@@ -81,42 +80,42 @@
 
     @property
     def is_failing(self) -> bool:
-        """Whether the last calls had no good answer."""
+        """Whether the latest calls failed."""
         return self.is_running and self._failures > 1
 
     def is_overdue(self, now: float) -> bool:
-        """Whether an answer is later than the usual delay of answers allows."""
+        """Return whether a response is later than the usual delay allows."""
         if not self.is_running or self._due_at is None:
             return False
-        return now > self._due_at + OVERDUE_S + 2 * self._delay_s
+        return now > self._due_at + OVERDUE_MARGIN_S + 2 * self._delay_s
 
     def start(self) -> None:
-        """Begin with a list, or with a watch where the copy has been kept by another way."""
+        """Start with a list, or with a watch if the replica already has state."""
         if self.is_running:
             return
         self.is_running = True
-        self._round += 1
-        if self._copy.is_known:
+        self._generation += 1
+        if self._replica.is_loaded:
             self._watch()
         else:
             self._list(None, self._loop.now())
 
     def stop(self) -> None:
-        """Stop; answers to calls under way are dropped."""
+        """Stop; responses to pending calls are ignored."""
         self.is_running = False
         self.is_current = False
-        self._round += 1
+        self._generation += 1
         self._failures = 0
 
-    def _when_wanted(
+    def _while_running(
         self, due_at: float, call: Callable[[HttpResponse | None], None]
     ) -> tuple[Callable[[HttpResponse | None], None], Callable[[], None]]:
-        """Return a call that is left out if the follower has been stopped in between.
+        """Return wrappers for a response and for its parts, inactive after the follower stopped.
 
-        Beside it what is to be called when a part of the answer comes: from then on the answer is
-        late only if its next part is.  ``due_at`` is when a store that answers at once would begin.
+        From the first part on, the response is overdue only if its next part is.  ``due_at`` is the
+        time at which a response without delay would start.
         """
-        asked_in = self._round
+        generation = self._generation
         self._due_at = due_at
         has_begun = False
 
@@ -127,18 +126,18 @@
                 delay_s = max(0.0, self._loop.now() - due_at)
                 self._delay_s += DELAY_WEIGHT * (delay_s - self._delay_s)
 
-        def heard() -> None:
-            if self.is_running and asked_in == self._round:
+        def handle_part() -> None:
+            if self.is_running and generation == self._generation:
                 begin()
                 self._due_at = self._loop.now()
 
-        def answered(answer: HttpResponse | None) -> None:
-            if self.is_running and asked_in == self._round:
+        def handle_response(response: HttpResponse | None) -> None:
+            if self.is_running and generation == self._generation:
                 begin()
                 self._due_at = None
-                call(answer)
+                call(response)
 
-        return answered, heard
+        return handle_response, handle_part
 
     def _list(self, after: str | None, began_at: float) -> None:
         if not self.is_running:
@@ -146,112 +145,116 @@
         if after is None:
             self._listed = []
             self._list_revision = None
-        call = self._dialect.list_objects(self._copy.dataset, after)
-        on_page, on_heard = self._when_wanted(
-            self._loop.now(), lambda answer: self._on_page(answer, began_at)
+        call = self._adapter.list_objects(self._replica.dataset, after)
+        on_page, on_part = self._while_running(
+            self._loop.now(), lambda response: self._on_page(response, began_at)
         )
-        self._store.call(call, ANSWER_TIMEOUT_S, on_page, on_heard)
+        self._store.call(call, RESPONSE_TIMEOUT_S, on_page, on_part)
 
-    def _on_page(self, answer: HttpResponse | None, began_at: float) -> None:
-        if answer is None or answer.status != STATUS_OK:
-            self._fail(answer, lambda: self._list(None, self._loop.now()))
+    def _on_page(self, response: HttpResponse | None, began_at: float) -> None:
+        if response is None or response.status != STATUS_OK:
+            self._fail(response, lambda: self._list(None, self._loop.now()))
             return
         try:
-            page = self._dialect.read_page(answer.body)
+            page = self._adapter.read_page(response.body)
         except UnreadableError as exc:
-            self._fail_unreadable(answer, exc)
+            self._fail_unreadable(response, exc)
             return
-        self._note_left_out(page.unreadable)
+        self._log_skipped(page.unreadable)
         self._listed += page.objects
         if self._list_revision is None:
-            # Later pages may already hold what the watch will tell again; that does no harm.
+            # Later pages may include changes that the watch repeats, which is harmless.
             self._list_revision = page.revision
         if page.next_after is not None:
             self._list(page.next_after, began_at)
             return
         self._succeed()
         now = self._loop.now()
-        self._copy.replace(self._listed, self._list_revision, self._is_after_outage(), now)
+        self._replica.replace(self._listed, self._list_revision, self._is_after_outage(), now)
         self._listed = []
-        self._taken(began_at)
+        self._finish_response(began_at)
 
     def _watch(self) -> None:
-        if not self.is_running or self._copy.revision is None:
+        if not self.is_running or self._replica.revision is None:
             return
         sent_at = self._loop.now()
-        # After a failure the store is asked for a quick answer, so that its return is seen at once.
+        # After a failure the store is asked to respond at once, to detect its return quickly.
         wait_s = 0.0 if self._failures or not self.is_current else self._cfg.wait_s
-        call = self._dialect.watch_objects(self._copy.dataset, self._copy.revision, wait_s)
-        on_changes, on_heard = self._when_wanted(
-            sent_at + wait_s, lambda answer: self._on_changes(answer, sent_at)
+        call = self._adapter.watch_objects(self._replica.dataset, self._replica.revision, wait_s)
+        on_changes, on_part = self._while_running(
+            sent_at + wait_s, lambda response: self._on_changes(response, sent_at)
         )
-        self._store.call(call, wait_s + ANSWER_TIMEOUT_S, on_changes, on_heard)
+        self._store.call(call, wait_s + RESPONSE_TIMEOUT_S, on_changes, on_part)
 
-    def _on_changes(self, answer: HttpResponse | None, sent_at: float) -> None:
-        if answer is not None and answer.status == HTTP_GONE:
-            log_event("history_gone", dataset=self._copy.dataset.value)
+    def _on_changes(self, response: HttpResponse | None, sent_at: float) -> None:
+        if response is not None and response.status == HTTP_GONE:
+            log_event("history_gone", dataset=self._replica.dataset.value)
             self._list(None, self._loop.now())
             return
-        if answer is None or answer.status != STATUS_OK:
-            self._fail(answer, self._watch)
+        if response is None or response.status != STATUS_OK:
+            self._fail(response, self._watch)
             return
         try:
-            changes = self._dialect.read_changes(answer.body)
+            changes = self._adapter.read_changes(response.body)
         except UnreadableError as exc:
-            self._fail_unreadable(answer, exc)
+            self._fail_unreadable(response, exc)
             return
         self._succeed()
-        self._note_left_out(changes.unreadable)
+        self._log_skipped(changes.unreadable)
         is_after_outage = self._is_after_outage()
         for event in changes.events:
             changed = [] if event.is_deleted else [event.stored]
-            gone = [event.stored.name] if event.is_deleted else []
-            self._copy.apply(changed, gone, changes.revision, is_after_outage, self._loop.now())
-        self._copy.revision = max(self._copy.revision or 0, changes.revision)
-        self._taken(sent_at, self._cfg.rest_s if changes.events else 0.0)
-
-    def _taken(self, asked_at: float, rest_s: float = 0.0) -> None:
+            deleted = [event.stored.name] if event.is_deleted else []
+            self._replica.apply(
+                changed, deleted, changes.revision, is_after_outage, self._loop.now()
+            )
+        self._replica.revision = max(self._replica.revision or 0, changes.revision)
+        self._finish_response(sent_at, self._cfg.rest_s if changes.events else 0.0)
+
+    def _finish_response(self, sent_at: float, rest_s: float = 0.0) -> None:
         self.is_current = True
-        self._copy.confirm(asked_at)
-        self._on_taken()
+        self._replica.confirm(sent_at)
+        self._on_applied()
         if rest_s:
-            self._again_in(rest_s, self._watch)
+            self._call_after(rest_s, self._watch)
         else:
             self._watch()
 
-    def _fail(self, answer: HttpResponse | None, again: Callable[[], None]) -> None:
+    def _fail(self, response: HttpResponse | None, retry: Callable[[], None]) -> None:
         self._failures += 1
         self.is_current = self._failures <= 1
         if self._failures == 1:
-            status = None if answer is None else answer.status
-            log_warning("store_lost", dataset=self._copy.dataset.value, status=status)
+            status = None if response is None else response.status
+            log_warning("store_lost", dataset=self._replica.dataset.value, status=status)
         pause_s = self._pause_s * random.uniform(0.5, 1.0)
         self._pause_s = min(LONGEST_PAUSE_S, self._pause_s * 2)
-        self._again_in(pause_s, again)
+        self._call_after(pause_s, retry)
 
-    def _fail_unreadable(self, answer: HttpResponse, exc: UnreadableError) -> None:
-        """Go on from a whole list: what the answer would have told is not known."""
-        log_warning("answer_unreadable", dataset=self._copy.dataset.value, fault=str(exc)[:100])
-        self._fail(answer, lambda: self._list(None, self._loop.now()))
+    def _fail_unreadable(self, response: HttpResponse, exc: UnreadableError) -> None:
+        """Restart from a complete list, since the changes in the response are unknown."""
+        log_warning("answer_unreadable", dataset=self._replica.dataset.value, fault=str(exc)[:100])
+        self._fail(response, lambda: self._list(None, self._loop.now()))
 
-    def _note_left_out(self, count: int) -> None:
+    def _log_skipped(self, count: int) -> None:
         if count:
-            log_warning("objects_left_out", dataset=self._copy.dataset.value, count=count)
+            log_warning("objects_left_out", dataset=self._replica.dataset.value, count=count)
 
-    def _again_in(self, pause_s: float, again: Callable[[], None]) -> None:
-        """Make the next call after a pause, unless the follower is stopped meanwhile."""
-        asked_in = self._round
-        self._loop.call_later(pause_s, lambda: again() if asked_in == self._round else None)
+    def _call_after(self, pause_s: float, retry: Callable[[], None]) -> None:
+        """Make the next call after a pause, unless the follower is stopped before."""
+        generation = self._generation
+        self._loop.call_later(pause_s, lambda: retry() if generation == self._generation else None)
 
     def _succeed(self) -> None:
         if self._failures:
-            log_warning("store_regained", dataset=self._copy.dataset.value, failures=self._failures)
+            log_warning(
+                "store_regained", dataset=self._replica.dataset.value, failures=self._failures
+            )
             self._failures = 0
             self._returned_at = self._loop.now()
         self._pause_s = FIRST_PAUSE_S
 
     def _is_after_outage(self) -> bool:
-        """Whether the store has only just returned: objects may be missing for a moment."""
+        """Return whether the store has just returned, so that objects may be missing briefly."""
         if self._returned_at is None:
             return False
         return self._loop.now() - self._returned_at < OUTAGE_MEMORY_S
--- a/src/martenrun/router/unresponsive_runners.py
+++ b/src/martenrun/router/unresponsive_runners.py
@@ -1,7 +1,7 @@
 """Detects unresponsive runners and applies the reports of other routers about them."""
 
 from martenrun.router.log import log_event
-from martenrun.router.peer_messages import SilenceNews
+from martenrun.router.peer_messages import UnresponsiveRunnerUpdate
 from martenrun.router.request_services import RequestServices
 from martenrun.router.runner_state import RunnerState
 
@@ -41,7 +41,9 @@
     return since is not None and any(state.last_data_at > since for state in states)
 
 
-def record_unresponsive(world: RequestServices, update: SilenceNews, now: float) -> None:
+def record_unresponsive(
+    world: RequestServices, update: UnresponsiveRunnerUpdate, now: float
+) -> None:
     """Record the report of a router that gets no data from a runner."""
     state = world.pool.state(update.instance)
     if state is None:
--- a/src/martenrun/router/weights_rollout.py
+++ b/src/martenrun/router/weights_rollout.py
@@ -9,7 +9,6 @@
 import attrs
 
 from martenrun.net.http import HttpResponse
-from martenrun.router.knowledge import decoded
 from martenrun.router.lease import Lease
 from martenrun.router.log import log_event, log_warning
 from martenrun.router.messages import (
@@ -19,13 +18,14 @@
     RunnerReport,
     WeightsOrder,
 )
-from martenrun.router.peer_messages import LeaseNews, WeightsNews
+from martenrun.router.peer_messages import LeaseUpdate, WeightsUpdate
 from martenrun.router.peers import Peers
-from martenrun.router.readers import strong_first
 from martenrun.router.request_services import RequestServices
 from martenrun.router.rollout_plan import RolloutQuery, outdated_runners, runners_to_load
 from martenrun.router.runner_state import RunnerState
-from martenrun.router.store_client import HttpCaller
+from martenrun.router.store_client import HttpClient
+from martenrun.router.store_readers import order_by_strength
+from martenrun.router.store_state import decode_or_log
 from martenrun.router.weights_updates import WeightsUpdateBatcher, apply_weights_update
 
 STEP_INTERVAL_S = 0.1
@@ -80,7 +80,7 @@
         self._unanswered_orders: set[str] = set()
         self._not_before: dict[str, float] = {}
         self._needed_since: float | None = None
-        self._callers: dict[str, HttpCaller] = {}
+        self._callers: dict[str, HttpClient] = {}
         self._is_step_scheduled = False
         self._update_batcher = WeightsUpdateBatcher(world.loop, peers)
         self._stops_at = math.inf
@@ -101,7 +101,7 @@
         self._stops_at = stops_at
         self.schedule_step()
 
-    def handle_lease_release(self, update: LeaseNews) -> None:
+    def handle_lease_release(self, update: LeaseUpdate) -> None:
         """Record that another router has released the lease."""
         record = LeaseRecord(
             update.holder, update.fencing_token, released_idle_s=update.idle_ms / MS_PER_S
@@ -124,7 +124,7 @@
             self._needed_since = now
         self._acquire_lease(now)
         for model in models:
-            self._check_loads(model, self._world.weights.wanted[model].version, now)
+            self._check_loads(model, self._world.weights.targets[model].version, now)
             if self._lease.is_held():
                 self._start_loads(model, now)
             else:
@@ -149,11 +149,11 @@
 
     def _broadcast_release(self, record: LeaseRecord, revision: int) -> None:
         idle_ms = round((record.released_idle_s or 0.0) * MS_PER_S)
-        self._peers.tell_all(LeaseNews(record.holder, record.fencing_token, revision, idle_ms))
+        self._peers.broadcast(LeaseUpdate(record.holder, record.fencing_token, revision, idle_ms))
 
     def _outdated_models(self) -> list[str]:
         states = self._world.pool.all_states()
-        targets = self._world.weights.wanted
+        targets = self._world.weights.targets
         return [
             name for name, item in targets.items() if outdated_runners(states, name, item.version)
         ]
@@ -165,7 +165,9 @@
         candidates += [
             record for record in self._peers.live() if record.is_current and not record.is_leaving
         ]
-        ranking = strong_first(b"weights", {item.address: item.capacity for item in candidates})
+        ranking = order_by_strength(
+            b"weights", {item.address: item.capacity for item in candidates}
+        )
         last = self._lease.last_holder_address()
         if last is not None and last in ranking:
             ranking.remove(last)
@@ -173,7 +175,7 @@
         return ranking.index(own.address)
 
     def _start_loads(self, model: str, now: float) -> None:
-        version = self._world.weights.wanted[model].version
+        version = self._world.weights.targets[model].version
         query = RolloutQuery(
             model=model,
             version=version,
@@ -182,7 +184,7 @@
             now=now,
             parameters=self._world.decisions.roll,
             load_time_s=self._load_time_s,
-            target_changes=self._world.weights.namings(model),
+            target_changes=self._world.weights.known_versions(model),
             old_weights_bound_s=self._world.old_weights_bound_s,
             stops_at=self._stops_at,
         )
@@ -205,7 +207,7 @@
         """
         earliest = dict(self._not_before)
         for state in outdated_runners(
-            self._world.pool.all_states(), model, self._world.weights.wanted[model].version
+            self._world.pool.all_states(), model, self._world.weights.targets[model].version
         ):
             instance = state.runner.instance
             from_schedule = (
@@ -260,7 +262,7 @@
     def _report_load(self, state: RunnerState, model: str, version: int, is_loaded: bool) -> None:
         """Apply a runner's loading state here and broadcast it with the next batch."""
         instance = state.runner.instance
-        apply_weights_update(self._world, WeightsNews([instance], model, version, is_loaded))
+        apply_weights_update(self._world, WeightsUpdate([instance], model, version, is_loaded))
         self._update_batcher.add(instance, model, version, is_loaded)
 
     def _request_report(self, state: RunnerState, model: str) -> None:
@@ -274,13 +276,13 @@
     def _on_report(self, response: HttpResponse | None, state: RunnerState, model: str) -> None:
         instance = state.runner.instance
         load = self._loads.get(instance)
-        target = self._world.weights.wanted[model].version
+        target = self._world.weights.targets[model].version
         if load is None:
             return
         if response is None or response.status != STATUS_OK:
             self._postpone_load(state, "no_report")
             return
-        report = decoded(response.body, self._world.adapter.read_report)
+        report = decode_or_log(response.body, self._world.adapter.read_report)
         if report is None:
             self._postpone_load(state, "report_unreadable")
             return
@@ -384,5 +386,5 @@
         address = state.runner.address
         caller = self._callers.get(address)
         if caller is None:
-            caller = self._callers[address] = HttpCaller(self._world.loop, address)
+            caller = self._callers[address] = HttpClient(self._world.loop, address)
         caller.call(call, timeout_s, on_response)
--- a/src/martenrun/router/weights_updates.py
+++ b/src/martenrun/router/weights_updates.py
@@ -1,7 +1,7 @@
 """Broadcasts which weights runners are loading or have loaded."""
 
 from martenrun.net.loop import Loop
-from martenrun.router.peer_messages import WeightsNews
+from martenrun.router.peer_messages import WeightsUpdate
 from martenrun.router.peers import Peers
 from martenrun.router.request_services import RequestServices
 from martenrun.router.runner_state import LOADING_TIMEOUT_S, RunnerState
@@ -32,10 +32,10 @@
     def _broadcast_batch(self) -> None:
         batch, self._pending = self._pending, {}
         for (model, version, is_loaded), instances in batch.items():
-            self._peers.tell_all(WeightsNews(instances, model, version, is_loaded))
+            self._peers.broadcast(WeightsUpdate(instances, model, version, is_loaded))
 
 
-def apply_weights_update(world: RequestServices, update: WeightsNews) -> None:
+def apply_weights_update(world: RequestServices, update: WeightsUpdate) -> None:
     """Apply an update about runners that are loading weights or have loaded them."""
     for instance in update.instances:
         state = world.pool.state(instance)
@@ -43,7 +43,7 @@
             _apply_to_runner(state, update, world.loop.now())
 
 
-def _apply_to_runner(state: RunnerState, update: WeightsNews, now: float) -> None:
+def _apply_to_runner(state: RunnerState, update: WeightsUpdate, now: float) -> None:
     if update.is_loaded:
         state.record_weights(update.model, update.version)
         state.loading_until = 0.0
--- a/src/martenrun/router/zone_loads.py
+++ b/src/martenrun/router/zone_loads.py
@@ -11,7 +11,7 @@
 from collections.abc import Iterable, Mapping
 
 from martenrun.router.peer_messages import RouterRecord, RunnerLoad
-from martenrun.router.readers import strong_first
+from martenrun.router.store_readers import order_by_strength
 
 SEND_INTERVAL_S = 0.05
 """Interval at which a zone reporter sends changed sums, in seconds.
@@ -46,7 +46,7 @@
         if not record.is_leaving:
             by_zone.setdefault(record.zone, []).append(record)
     return {
-        zone: strong_first(b"teller", {item.address: item.capacity for item in members})[0]
+        zone: order_by_strength(b"teller", {item.address: item.capacity for item in members})[0]
         for zone, members in by_zone.items()
     }
 
@@ -64,8 +64,8 @@
     """Return the sum of two loads."""
     return RunnerLoad(
         first.requests + second.requests,
-        first.tokens_to_read + second.tokens_to_read,
-        first.tokens_held + second.tokens_held,
+        first.prefill_tokens + second.prefill_tokens,
+        first.kv_cache_tokens + second.kv_cache_tokens,
     )
 
 
@@ -81,7 +81,7 @@
         for instance in sums.keys() | self._sent.keys():
             load = sums.get(instance, NO_LOAD)
             last_sent, sent_at = self._sent.get(instance, (NO_LOAD, 0.0))
-            change = abs(load.tokens_to_read - last_sent.tokens_to_read)
+            change = abs(load.prefill_tokens - last_sent.prefill_tokens)
             if change >= MINIMUM_CHANGE_TOKENS or now - sent_at >= REPEAT_INTERVAL_S:
                 updates[instance] = load
                 self._record_sent(instance, load, last_sent, now)
--- a/tests/router/blame_fleet.py
+++ b/tests/router/blame_fleet.py
@@ -13,13 +13,13 @@
 
 from martenrun.platform import PLATFORM_ADAPTER
 from martenrun.router.blame_store import BlameStore
-from martenrun.router.dataset_copy import CopyListener
+from martenrun.router.dataset_replica import ReplicaListener
 from martenrun.router.fingerprint import fingerprint
 from martenrun.router.log import EVENT_LOG
 from martenrun.router.messages import Dataset
 
 from .blame_world import admitted, request, suspects
-from .fleet_world import CountingStore, Fleet, KeptRouter
+from .fleet_world import CountingStore, Fleet, SimulatedRouter
 
 RUN = fingerprint(request(b"deadly"), admitted())
 KIND = "router-blame"
@@ -45,7 +45,7 @@
             super().serve(call, on_answer)
         elif call.method == b"GET" and b"watch" not in call.target:
             items = [] if self.kept is None else [self.kept]
-            self._answer(on_answer, 200, {"items": items, "more": False, "at": self.revision})
+            self._respond(on_answer, 200, {"items": items, "more": False, "at": self.revision})
         elif call.method == b"GET":
             super().serve(call, on_answer)
         else:
@@ -55,19 +55,19 @@
         wanted = body["metadata"].get("revision")
         revision = None if self.kept is None else self.kept["metadata"]["revision"]
         if (creates and revision is not None) or (not creates and wanted != revision):
-            self._answer(on_answer, 409, self.kept)
+            self._respond(on_answer, 409, self.kept)
             return
         self.writes += 1
         metadata = {"name": "main", "revision": self.revision + 1}
         self.kept = {"metadata": metadata, "spec": body["spec"]}
         self.change(KIND)
-        self._answer(on_answer, 200, self.kept)
+        self._respond(on_answer, 200, self.kept)
 
     def _changed_item(self, kind):
         return self.kept if kind == KIND else super()._changed_item(kind)
 
 
-class BlamingRouter(KeptRouter):
+class BlamingRouter(SimulatedRouter):
     """A router that follows, tells and stores blame."""
 
     def __init__(self, fleet, address, seeds):
@@ -75,22 +75,24 @@
         self.born_at = fleet.loop.now()
         self.is_off = False
         peers = fleet.world.routers[address]
-        self.suspects = suspects(fleet.loop, tell=peers.tell_all)
-        peers._on_news = self.suspects.take
-        peers._newcomer_news = lambda routers: filter(None, [self.suspects.newcomer_news(routers)])
-        copy = self.copies[Dataset.CRASH_RECORDS]
-        copy._listener = CopyListener(
+        self.suspects = suspects(fleet.loop, tell=peers.broadcast)
+        peers._on_update = self.suspects.take
+        peers._updates_for_new_router = lambda routers: filter(
+            None, [self.suspects.newcomer_news(routers)]
+        )
+        copy = self.replicas[Dataset.CRASH_RECORDS]
+        copy._listener = ReplicaListener(
             lambda stored: self.suspects.take_stored(PLATFORM_ADAPTER.read_crash_records(stored)),
             lambda _name: None,
             lambda: None,
         )
         self.writer = BlameStore(
             fleet.loop,
-            fleet.store_caller(address),
+            fleet.store_client(address),
             PLATFORM_ADAPTER,
             copy,
             self.suspects,
-            lambda: self.keeper.reads_store,
+            lambda: self.sync.reads_store,
         )
         self._loop = fleet.loop
         self._keep_house()
--- a/tests/router/fakes.py
+++ b/tests/router/fakes.py
@@ -1,4 +1,4 @@
-"""A loop with a clock of its own and a store in memory, for tests of timed logic."""
+"""An event loop in virtual time, a store in memory and fake peers."""
 
 import heapq
 import itertools
@@ -35,15 +35,15 @@
 
     def run_until(self, until):
         while self._queue and self._queue[0][0] <= until:
-            due, _, timer = heapq.heappop(self._queue)
-            self.time = max(self.time, due)
+            due_at, _, timer = heapq.heappop(self._queue)
+            self.time = max(self.time, due_at)
             if not timer.is_cancelled:
                 timer.call()
         self.time = until
 
 
 class FakeStore:
-    """Objects with revisions; answers after a moment, or not at all while ``is_silent``."""
+    """Objects with revisions; responds after a short delay, or not at all while ``is_silent``."""
 
     def __init__(self, loop):
         self.loop = loop
@@ -53,36 +53,36 @@
         self.loses_answers = False
         self.writes = []
 
-    def call(self, call, timeout_s, on_answer):
+    def call(self, call, timeout_s, on_response):
         if self.is_silent:
-            self.loop.call_later(timeout_s, lambda: on_answer(None))
+            self.loop.call_later(timeout_s, lambda: on_response(None))
             return
-        answer = self._serve(call)
+        response = self._serve(call)
         if self.loses_answers:
-            self.loop.call_later(timeout_s, lambda: on_answer(None))
+            self.loop.call_later(timeout_s, lambda: on_response(None))
         else:
-            self.loop.call_later(0.004, lambda: on_answer(answer))
+            self.loop.call_later(0.004, lambda: on_response(response))
 
     def _serve(self, call):
         path = call.target.decode().partition("?")[0]
         name = path.rsplit("/", 1)[-1]
         if call.method == b"GET":
-            return self._answer(200, name) if name in self.objects else HttpResponse(404, [], b"")
+            return self._respond(200, name) if name in self.objects else HttpResponse(404, [], b"")
         body = _DECODE(call.body)
         name = body["metadata"]["name"]
         known = self.objects.get(name)
         if call.method == b"POST" and known is not None:
-            return self._answer(409, name)
+            return self._respond(409, name)
         if call.method == b"PUT" and known["metadata"]["revision"] != body["metadata"]["revision"]:
-            return self._answer(409, name)
+            return self._respond(409, name)
         if known is None or known["spec"] != body["spec"]:
             self.revision += 1
             metadata = {"name": name, "revision": self.revision}
             self.objects[name] = {"metadata": metadata, "spec": body["spec"]}
             self.writes.append((self.loop.now(), body["spec"]))
-        return self._answer(200, name)
+        return self._respond(200, name)
 
-    def _answer(self, status, name):
+    def _respond(self, status, name):
         return HttpResponse(status, [], _ENCODE(self.objects[name]))
 
 
@@ -92,13 +92,13 @@
 
 
 class FakePeers:
-    """Other routers as a list of records; what is told at once is kept."""
+    """The other routers as a list of records; keeps what is sent."""
 
     def __init__(self, own):
         self.own = own
         self.records = []
-        self.readings = []
-        self.sums = []
+        self.load_updates = []
+        self.zone_loads = []
         self.time = 0.0
         self.is_large = False
 
@@ -108,11 +108,11 @@
     def now(self):
         return self.time
 
-    def tells_own_zone_only(self):
+    def sends_loads_to_own_zone_only(self):
         return self.is_large
 
-    def tell_sums(self, addresses, sums):
-        self.sums.append((addresses, sums))
+    def send_zone_loads(self, addresses, loads):
+        self.zone_loads.append((addresses, loads))
 
-    def tell_reading(self, instance, load):
-        self.readings.append((instance, load))
+    def broadcast_load(self, instance, load):
+        self.load_updates.append((instance, load))
--- a/tests/router/gossip_world.py
+++ b/tests/router/gossip_world.py
@@ -1,4 +1,4 @@
-"""Routers that gossip in virtual time: datagrams late, lost, doubled; joins, ends, stand-stills."""
+"""Routers that gossip in virtual time over a lossy network, with joins, crashes and suspensions."""
 
 import random
 
@@ -8,8 +8,8 @@
 from .fakes import FakeLoop
 
 
-def router_record(address, incarnation=1, beat=0, **changes):
-    """A record of a router that stays and knows the store."""
+def router_record(address, incarnation=1, heartbeat=0, **changes):
+    """Return a record of a router that is not leaving and can reach the store."""
     fields = {
         "front": "f" + address,
         "zone": "z",
@@ -22,12 +22,12 @@
         "weights": {},
     }
     return RouterRecord(
-        address=address, incarnation=incarnation, beat=beat, **{**fields, **changes}
+        address=address, incarnation=incarnation, heartbeat=heartbeat, **{**fields, **changes}
     )
 
 
 class PeerLoop:
-    """The world's clock as one router sees it; ``late_s`` is how late its loop has come around."""
+    """The world's clock as one router sees it; ``late_s`` is the delay of its event loop."""
 
     def __init__(self, loop):
         self._loop = loop
@@ -40,15 +40,15 @@
         return self._loop.call_later(delay_s, call)
 
 
-class PlayedPeers(Peers):
-    """The peers of one router, on the network of a world."""
+class SimulatedPeers(Peers):
+    """The peers of one router, on the simulated network."""
 
     def __init__(self, world, own, seeds):
         self.world = world
-        self.is_off = False
-        self.is_still = False
+        self.is_stopped = False
+        self.is_suspended = False
         self.waiting = []
-        self.misses_tick = False
+        self.has_missed_tick = False
         super().__init__(
             PeerLoop(world.loop),
             own,
@@ -67,89 +67,89 @@
         self.world.send(address, data)
 
     def _tick(self):
-        if self.is_still:
-            self.misses_tick = True
-        elif not self.is_off:
+        if self.is_suspended:
+            self.has_missed_tick = True
+        elif not self.is_stopped:
             super()._tick()
 
-    def take_datagram(self, data):
-        """Take a datagram in, or leave it in the socket while this router stands still."""
-        if self.is_still:
+    def receive_datagram(self, data):
+        """Handle a datagram, or keep it in the socket while this router is suspended."""
+        if self.is_suspended:
             self.waiting.append(data)
-        elif not self.is_off:
-            self._take(decode(data), self._loop.now() - self._loop.late_s)
+        elif not self.is_stopped:
+            self._handle_message(decode(data), self._loop.now() - self._loop.late_s)
 
-    def named(self):
-        """Return the addresses of the routers that this one counts as alive."""
+    def live_addresses(self):
+        """Return the addresses of the routers that this one considers alive."""
         return [record.address for record in self.live()]
 
 
 class GossipWorld:
-    """Some routers, by address.
+    """Routers by address, with a simulated network.
 
     Args:
-        delays_s: how long datagrams are on their way; one is drawn for each copy.
-        copies: how many copies of a datagram arrive; one is drawn for each datagram.
+        delays_s: possible delays of a datagram; one is drawn for each copy.
+        copies: possible numbers of copies of a datagram; one is drawn for each datagram.
     """
 
     def __init__(self, seed, delays_s=(0.002,), copies=(1,)):
         self.rng = random.Random(seed)
         self.loop = FakeLoop()
-        self.began = self.loop.time
+        self.started_at = self.loop.time
         self.routers = {}
-        self.lives = 0
+        self.incarnations = 0
         self._delays_s = delays_s
         self._copies = copies
 
     def now(self):
-        """Return the seconds since the world began."""
-        return self.loop.time - self.began
+        """Return the seconds since the start of the simulation."""
+        return self.loop.time - self.started_at
 
     def start(self, address, seeds=(), zone="z", **changes):
-        """Start a router, in place of an earlier one at the address; ``changes`` of its record."""
+        """Start a router, replacing an earlier one at the address; ``changes`` of its record."""
         if address in self.routers:
             self.stop(address)
-        self.lives += 1
-        own = router_record(address, incarnation=self.lives, zone=zone, **changes)
-        self.routers[address] = PlayedPeers(self, own, tuple(seeds))
+        self.incarnations += 1
+        own = router_record(address, incarnation=self.incarnations, zone=zone, **changes)
+        self.routers[address] = SimulatedPeers(self, own, tuple(seeds))
         self.routers[address].start()
 
     def stop(self, address):
-        """Let a router go without a word."""
-        self.routers[address].is_off = True
+        """Kill a router, without any message to the others."""
+        self.routers[address].is_stopped = True
 
-    def stand_still(self, address):
-        """Stop a router's process; what is sent to it waits."""
-        self.routers[address].is_still = True
+    def suspend(self, address):
+        """Suspend a router's process; datagrams sent to it wait."""
+        self.routers[address].is_suspended = True
 
-    def go_on(self, address, late_s):
-        """Let a router's process go on: it reads what has waited, then does what was due."""
+    def resume(self, address, late_s):
+        """Resume a router's process: it handles the waiting datagrams, then the overdue timer."""
         peers = self.routers[address]
-        peers.is_still = False
+        peers.is_suspended = False
         peers._loop.late_s = late_s
         waiting, peers.waiting = peers.waiting, []
         for data in waiting:
-            peers.take_datagram(data)
+            peers.receive_datagram(data)
         peers._loop.late_s = 0.0
-        if peers.misses_tick:
-            peers.misses_tick = False
+        if peers.has_missed_tick:
+            peers.has_missed_tick = False
             peers._tick()
 
     def send(self, address, data):
-        """Carry a datagram."""
+        """Deliver a datagram over the network."""
         for _ in range(self.rng.choice(self._copies)):
             delay_s = self.rng.choice(self._delays_s)
             self.loop.call_later(delay_s, lambda: self._arrive(address, data))
 
     def run(self, seconds):
-        """Let some time pass."""
+        """Advance the virtual time."""
         self.loop.run_until(self.loop.time + seconds)
 
-    def alive(self):
-        """Return the routers that run."""
-        return [peers for peers in self.routers.values() if not peers.is_off]
+    def running(self):
+        """Return the running routers."""
+        return [peers for peers in self.routers.values() if not peers.is_stopped]
 
     def _arrive(self, address, data):
         peers = self.routers.get(address)
         if peers is not None:
-            peers.take_datagram(data)
+            peers.receive_datagram(data)
--- a/tests/router/test_forwarding.py
+++ b/tests/router/test_forwarding.py
@@ -8,11 +8,11 @@
 from martenrun.router import request_trace
 from martenrun.router.fingerprint import fingerprint
 from martenrun.router.forwarding import RequestForwarder
-from martenrun.router.knowledge import ConfigurationKnowledge, RunnerDirectory, WeightsKnowledge
 from martenrun.router.messages import AdmittedRequest, Call, PromptPart, RouteKind, TargetWeights
 from martenrun.router.placement import Placement
 from martenrun.router.prefill_rate import MINIMUM_SAMPLES
 from martenrun.router.request_services import RequestServices
+from martenrun.router.store_state import ConfigurationState, RunnerDirectory, WeightsState
 from martenrun.router.tuning import DEFAULTS
 
 from .blame_world import Probes, suspects
@@ -124,9 +124,9 @@
         self.pool = FakePool(self.loop, self.states, script)
         limits = bounds(budget_slack=budget_slack, budget_ratio=0.0)
         settings = type("Settings", (), {"bounds": limits, "zone": "z1"})()
-        self.weights = WeightsKnowledge()
-        configuration_state = ConfigurationKnowledge()
-        configuration_state.take(configuration(1))
+        self.weights = WeightsState()
+        configuration_state = ConfigurationState()
+        configuration_state.put(configuration(1))
         configuration_state.confirm(self.loop.now())
         self.outcomes = []
         self.probes = Probes()
@@ -267,7 +267,7 @@
     first = case.pool.sent[0]
     other = new if first == "i-0" else old
     other.record_weights("m", 2)
-    case.weights.take(TargetWeights("m", 2), case.loop.now())
+    case.weights.put(TargetWeights("m", 2), case.loop.now())
     case.forwarder.move_off_old_weights(case.loop.now() + 7.0)
     assert len(case.pool.sent) == 1
     case.loop.time += 7.5
--- a/tests/router/test_gossip_world.py
+++ b/tests/router/test_gossip_world.py
@@ -1,26 +1,26 @@
-"""Gossip in virtual time: who left is soon named by nobody, who lives is named by all."""
+"""Gossip in virtual time: departed routers soon disappear, live ones are known to all."""
 
 import pytest
 
 from martenrun.router.peer_messages import Gossip, encode
-from martenrun.router.router_table import longest_named_s
+from martenrun.router.router_table import max_detection_s
 
 from .gossip_world import GossipWorld, router_record
 
 SETTLED_S = 18.0
-WATCHED_S = 40.0
+OBSERVED_S = 40.0
 STEP_S = 0.1
 
-NAMED_BOUND_S = 4.5
-"""How long after its end a small deployment may still name a router, in seconds.
+MAX_DETECTION_S = 4.5
+"""How long after its end a small deployment may consider a router alive, in seconds.
 
-The age up to which a record counts as risen just now and the time until it counts as dead, two
-seconds each, and half a second on the way.
+The maximum age of a record that counts as received in time and the time after which a silent router
+counts as dead, two seconds each, and half a second in transit.
 """
 
 
 def settled_world(seed, count=8, **network):
-    """A world in which so many routers have known each other for long."""
+    """Return a world whose routers have known each other for long."""
     world = GossipWorld(seed, **network)
     addresses = [f"r{number}" for number in range(count)]
     for address in addresses:
@@ -29,195 +29,199 @@
     return world, addresses
 
 
-def named_until(world, gone, each_step=lambda _since: None):
-    """Return until when, after its end now, anybody names a router."""
-    world.stop(gone)
-    ended_at = world.now()
+def last_seen_alive_s(world, departed, each_step=lambda _since: None):
+    """Stop a router; return the last time after that at which another considered it alive."""
+    world.stop(departed)
+    stopped_at = world.now()
     last = 0.0
-    while (since := world.now() - ended_at) < WATCHED_S:
-        each_step(since)
-        if any(gone in peers.named() for peers in world.alive()):
-            last = since
+    while (elapsed_s := world.now() - stopped_at) < OBSERVED_S:
+        each_step(elapsed_s)
+        if any(departed in peers.live_addresses() for peers in world.running()):
+            last = elapsed_s
         world.run(STEP_S)
     return last
 
 
-def named_through_restarts(seed, pause_s):
-    """Return how long a departed router is named while the others are restarted in turn."""
+def detection_after_restarts_s(seed, pause_s):
+    """Return how long a departed router is considered alive while the others restart in turn."""
     world, addresses = settled_world(seed)
     others = addresses[:-1]
     started = 0
 
-    def restart_next(since):
+    def restart_next(elapsed_s):
         nonlocal started
-        if since >= started * pause_s:
+        if elapsed_s >= started * pause_s:
             world.start(others[started % len(others)], seeds=addresses[:3])
             started += 1
 
-    return named_until(world, addresses[-1], restart_next)
+    return last_seen_alive_s(world, addresses[-1], restart_next)
 
 
-def named_after_stand_still(still_s):
-    """Return how long a router is named that left while another one stood still."""
+def detection_after_suspension_s(suspended_s):
+    """Return how long a router that left while another was suspended is considered alive."""
     world, addresses = settled_world(1)
-    world.stand_still(addresses[1])
+    world.suspend(addresses[1])
     world.run(0.5)
 
-    def go_on(since):
-        if world.routers[addresses[1]].is_still and since >= still_s:
-            world.go_on(addresses[1], still_s + 0.5)
+    def resume(elapsed_s):
+        if world.routers[addresses[1]].is_suspended and elapsed_s >= suspended_s:
+            world.resume(addresses[1], suspended_s + 0.5)
 
-    return named_until(world, addresses[3], go_on)
+    return last_seen_alive_s(world, addresses[3], resume)
 
 
+# Guards against routers that learn of a departed router at each restart, as if it were alive.
 def test_no_series_of_restarts_keeps_a_departed_router_named():
-    """Each router that starts hears of the departed one anew, with the age that is told to it."""
-    named = {
-        (seed, pause_s): named_through_restarts(seed, pause_s)
+    seen_alive = {
+        (seed, pause_s): detection_after_restarts_s(seed, pause_s)
         for seed in range(4)
         for pause_s in (0.3, 0.6, 1.0, 1.9)
     }
-    assert {case: until for case, until in named.items() if until > NAMED_BOUND_S} == {}
+    assert {case: until for case, until in seen_alive.items() if until > MAX_DETECTION_S} == {}
 
 
+# Guards against datagrams that waited in the socket of a suspended process and count as current.
 def test_a_router_that_stood_still_does_not_name_who_left_meanwhile():
-    """What has waited in its socket says what was true when it came."""
-    named = {still_s: named_after_stand_still(still_s) for still_s in (3.0, 8.0, 25.0)}
-    assert {still: until for still, until in named.items() if until > NAMED_BOUND_S} == {}
+    seen_alive = {
+        suspended_s: detection_after_suspension_s(suspended_s) for suspended_s in (3.0, 8.0, 25.0)
+    }
+    assert {
+        duration_s: until for duration_s, until in seen_alive.items() if until > MAX_DETECTION_S
+    } == {}
 
 
-def falsely_dead(world, seconds):
-    """Return the share of living routers that others count as dead, over some time."""
-    missed = looks = 0
+def false_death_share(world, seconds):
+    """Return the share of checks at which a live router is considered dead by another."""
+    mistakes = checks = 0
     end = world.now() + seconds
     while world.now() < end:
         world.run(0.5)
-        alive = world.alive()
-        missed += sum(len(alive) - 1 - len(peers.named()) for peers in alive)
-        looks += len(alive) * (len(alive) - 1)
-    return missed / looks
+        alive = world.running()
+        mistakes += sum(len(alive) - 1 - len(peers.live_addresses()) for peers in alive)
+        checks += len(alive) * (len(alive) - 1)
+    return mistakes / checks
 
 
-def test_no_living_router_is_taken_for_dead_over_many_hops():
-    """Nothing but the gossip tells of them: no requests come."""
+def test_live_routers_are_not_declared_dead_over_many_hops():
+    """Without requests, gossip is the only source of heartbeats."""
     for count in (8, 16, 30):
         world, _ = settled_world(1, count, copies=(0, *[1] * 9))
-        assert falsely_dead(world, 15.0) == 0.0
+        assert false_death_share(world, 15.0) == 0.0
 
 
-MISTAKEN_SHARE = 1e-4
-"""Share of looks at which a living router of many may count as dead, or not be known."""
+MAX_FALSE_DEATH_SHARE = 1e-4
+"""Maximum share of checks at which a live router may be considered dead, or be unknown."""
 
 
-def test_hardly_a_living_router_of_many_is_taken_for_dead():
+def test_live_routers_of_a_large_deployment_are_hardly_ever_declared_dead():
     world, _ = settled_world(1, 79)
-    assert falsely_dead(world, 10.0) <= MISTAKEN_SHARE
+    assert false_death_share(world, 10.0) <= MAX_FALSE_DEATH_SHARE
 
 
-def test_among_195_routers_of_five_zones_all_that_started_at_once_are_known():
-    """Records alone need a minute to pass everybody; who lacks one asks whoever told its beat."""
+# Guards against records that take a minute to reach all routers: missing ones must be requested.
+def test_195_routers_in_five_zones_that_start_at_once_know_each_other():
     world = GossipWorld(1, copies=(0, *[1] * 9))
     addresses = [f"r{number}" for number in range(195)]
     for number, address in enumerate(addresses):
         world.start(address, seeds=addresses[:3], zone=f"z{number % 5}")
     world.run(5.0)
-    assert falsely_dead(world, 4.0) <= MISTAKEN_SHARE
-    gone = addresses[100]
-    world.stop(gone)
-    world.run(longest_named_s(195) + 0.5)
-    assert [peers for peers in world.alive() if gone in peers.named()] == []
+    assert false_death_share(world, 4.0) <= MAX_FALSE_DEATH_SHARE
+    departed = addresses[100]
+    world.stop(departed)
+    world.run(max_detection_s(195) + 0.5)
+    assert [peers for peers in world.running() if departed in peers.live_addresses()] == []
 
 
-def test_series_that_overlap_keep_no_departed_router_named():
-    """Others restart and stand still at times of their own; datagrams are lost, doubled, late."""
+def test_overlapping_restarts_and_suspensions_keep_no_departed_router_alive():
+    """Routers restart and are suspended at random; datagrams are lost, duplicated and delayed."""
     for seed in range(6):
         world, addresses = settled_world(seed, delays_s=(0.002, 0.05, 0.2), copies=(0, 1, 1, 2))
-        standing = {}
+        suspended = {}
 
-        def strike(since, world=world, addresses=addresses, standing=standing):
+        def inject_failures(elapsed_s, world=world, addresses=addresses, suspended=suspended):
             rng, others = world.rng, addresses[:-1]
-            for address, until in list(standing.items()):
-                if since >= until[0]:
-                    world.go_on(address, since - until[1])
-                    del standing[address]
-            free = [address for address in others if address not in standing]
+            for address, until in list(suspended.items()):
+                if elapsed_s >= until[0]:
+                    world.resume(address, elapsed_s - until[1])
+                    del suspended[address]
+            free = [address for address in others if address not in suspended]
             if rng.random() < 0.1:
                 world.start(rng.choice(free), seeds=addresses[:3])
             if rng.random() < 0.04 and len(free) > 4:
                 address = rng.choice(free)
-                world.stand_still(address)
-                standing[address] = (since + rng.uniform(0.5, 12.0), since)
+                world.suspend(address)
+                suspended[address] = (elapsed_s + rng.uniform(0.5, 12.0), elapsed_s)
 
-        assert named_until(world, addresses[-1], strike) <= NAMED_BOUND_S + 1.0
+        assert last_seen_alive_s(world, addresses[-1], inject_failures) <= MAX_DETECTION_S + 1.0
 
 
-def test_who_hears_of_an_earlier_life_of_its_own_answers_nobody():
-    """Answered as a stranger, it would send to itself and answer that, without end."""
+# Guards against an endless loop of a router that replies to its own earlier incarnation.
+def test_router_does_not_reply_to_an_earlier_incarnation_of_itself():
     world = GossipWorld(1)
     world.start("a", zone="z")
     sent = []
     world.send = lambda address, _data: sent.append(address)
     for incarnation in (1, 9):
-        world.routers["a"].take_datagram(encode(Gossip([router_record("a", incarnation)])))
+        world.routers["a"].receive_datagram(encode(Gossip([router_record("a", incarnation)])))
     assert sent == []
 
 
-def test_strangers_greet_each_other_once():
+def test_unknown_router_is_sent_the_records_once():
     world = GossipWorld(1)
     for address in ("a", "b"):
         world.start(address, zone="z")
-    greeted = encode(Gossip([world.routers["b"].own]))
+    gossip = encode(Gossip([world.routers["b"].own]))
     sent = []
     world.send = lambda address, _data: sent.append(address)
     for _ in range(3):
-        world.routers["a"].take_datagram(greeted)
+        world.routers["a"].receive_datagram(gossip)
     assert sent == ["b"]
 
 
-def test_routers_that_have_left_do_not_slow_the_gossip_of_the_living():
-    """Soak's seed 3004: 16 routers, of which many left and as many joined within 20 s."""
+# Guards against slow gossip after many of 16 routers left and joined within 20 s (soak seed 3004).
+def test_departed_routers_do_not_slow_down_the_gossip():
     world, addresses = settled_world(1, 16)
     for number, address in enumerate(addresses[1:13]):
         world.stop(address)
         world.start(f"n{number}", seeds=addresses[:3])
         world.run(1.0)
     world.run(5.0)
-    assert [peers.table.slowness() for peers in world.alive()] == [1.0] * 16
-    assert named_until(world, addresses[13]) <= NAMED_BOUND_S
+    assert [peers.table.slowdown() for peers in world.running()] == [1.0] * 16
+    assert last_seen_alive_s(world, addresses[13]) <= MAX_DETECTION_S
 
 
-def test_what_is_told_soon_goes_out_at_once_and_then_at_most_twice_a_second():
-    """Versions of the configuration may come each 60 ms; who is behind must hear of the first."""
+# Guards against late notice of a new configuration when versions follow each other every 60 ms.
+def test_scheduled_broadcast_is_sent_at_once_and_then_twice_a_second_at_most():
     world = GossipWorld(1)
     for address in ("10.0.0.1:7", "10.0.0.2:7"):
         world.start(address, ("10.0.0.1:7",))
     world.run(2.0)
-    teller, _ = world.routers.values()
-    told_at = []
-    teller._send_to = lambda _addresses, _message: told_at.append(world.now())
+    sender, _ = world.routers.values()
+    sent_at = []
+    sender._send_to = lambda _addresses, _message: sent_at.append(world.now())
     for number in range(30):
-        world.loop.call_later(number * 0.06, teller.tell_soon)
+        world.loop.call_later(number * 0.06, sender.schedule_record_broadcast)
     world.run(3.0)
-    assert told_at[0] == pytest.approx(2.0)
-    assert 4 <= len(told_at) <= 5 and told_at[-1] >= 2.0 + 29 * 0.06
+    assert sent_at[0] == pytest.approx(2.0)
+    assert 4 <= len(sent_at) <= 5 and sent_at[-1] >= 2.0 + 29 * 0.06
 
 
-def test_versions_in_force_are_heard_of_with_their_age():
+def test_versions_in_force_are_received_with_their_age():
     world = GossipWorld(1)
     for address in ("10.0.0.1:7", "10.0.0.2:7"):
         world.start(address, ("10.0.0.1:7",))
     world.run(2.0)
-    teller, hearer = world.routers.values()
-    teller.own.configurations = [(8, 1_500)]
-    teller.tell_now()
+    sender, receiver = world.routers.values()
+    sender.own.configurations = [(8, 1_500)]
+    sender.broadcast_record()
     world.run(0.1)
-    ((record, told_at),) = hearer.table.told()
+    ((record, reported_at),) = receiver.table.timed_records()
     assert record.configurations == [(8, 1_500)]
-    assert told_at == pytest.approx(hearer.now() - 0.1, abs=0.01)
+    assert reported_at == pytest.approx(receiver.now() - 0.1, abs=0.01)
 
 
-class StandingStill:
-    """A socket whose router stands still for 6 s between two datagrams that it reads in one go."""
+class SuspendingSocket:
+    """A socket whose router is suspended for 6 s before it reads the last datagram."""
 
     def __init__(self, loop, datagrams):
         self._loop = loop
@@ -231,19 +235,18 @@
         return self._datagrams.pop(0), None
 
 
+# Guards against datagrams read after a suspension within one receive loop that count as current.
+# Found while tracing soak seed 3004, in which three departed routers were listed for 3.6 s more;
+# there the delay was lost in another way, see docs/findings.md.
 def test_what_waited_while_a_router_stood_still_in_the_middle_of_reading_is_old():
-    """How late a round is served is taken before its datagrams are read: a stop in between is lost.
-
-    Found while the soak's seed 3004 was traced, where three routers that had left were named for
-    3.6 s more; there the lateness was lost in another way, see docs/findings.md.
-    """
     world = GossipWorld(1)
     world.start("10.0.0.1:7")
     world.run(1.0)
     peers = world.routers["10.0.0.1:7"]
     gossip = [
-        encode(Gossip([router_record(address, beat=5)])) for address in ("10.0.0.2:7", "10.0.0.3:7")
+        encode(Gossip([router_record(address, heartbeat=5)]))
+        for address in ("10.0.0.2:7", "10.0.0.3:7")
     ]
-    peers._socket = StandingStill(world.loop, gossip)
+    peers._socket = SuspendingSocket(world.loop, gossip)
     peers._receive()
-    assert "10.0.0.3:7" not in peers.named()
+    assert "10.0.0.3:7" not in peers.live_addresses()
--- a/tests/router/test_load_exchange.py
+++ b/tests/router/test_load_exchange.py
@@ -28,7 +28,7 @@
     loads.report_pending_prefill(state)
     state.pending_prefill_tokens = 0.0
     loads.report_pending_prefill(state)
-    assert peers.readings == [
+    assert peers.load_updates == [
         ("i-0", RunnerLoad(1, 9_000, 9_200)),
         ("i-0", RunnerLoad(1, 0, 9_200)),
     ]
@@ -41,15 +41,15 @@
     loads.report_pending_prefill(state)
     peers.time = REPORT_INTERVAL_S / 2
     loads.repeat_reports()
-    assert len(peers.readings) == 1
+    assert len(peers.load_updates) == 1
     peers.time = REPORT_INTERVAL_S * 1.1
     loads.repeat_reports()
-    assert peers.readings == [("i-0", RunnerLoad(1, 9_000, 0))] * 2
+    assert peers.load_updates == [("i-0", RunnerLoad(1, 9_000, 0))] * 2
     state.pending_prefill_tokens = 0.0
     loads.report_pending_prefill(state)
     peers.time *= 3
     loads.repeat_reports()
-    assert len(peers.readings) == 3
+    assert len(peers.load_updates) == 3
 
 
 def test_short_prompts_are_broadcast_once_they_add_up():
@@ -58,7 +58,7 @@
     for _ in range(6):
         state.pending_prefill_tokens += step
         loads.report_pending_prefill(state)
-    assert len(peers.readings) == 2
+    assert len(peers.load_updates) == 2
 
 
 def test_only_loads_of_live_routers_are_summed():
--- a/tests/router/test_contacts.py
+++ b/tests/router/test_peer_addresses.py
@@ -1,11 +1,15 @@
-"""Routers without a living seed find the others by addresses that are kept in the store."""
+"""Routers whose seeds are all dead find the others by the peer addresses in the store."""
 
 import random
 
 import pytest
 
 from martenrun.platform import PLATFORM_ADAPTER
-from martenrun.router.contacts import STORED_CONTACTS, ContactDirectory, choose_contacts
+from martenrun.router.peer_addresses import (
+    MAX_STORED_ADDRESSES,
+    PeerAddressDirectory,
+    choose_addresses,
+)
 
 from .fakes import FakeStore
 from .gossip_world import GossipWorld
@@ -13,54 +17,54 @@
 SEEDS = ("s1", "s2", "s3")
 
 
-class ContactWorld(GossipWorld):
-    """Routers with gossip and contacts before one store; the first two alive read it."""
+class PeerAddressWorld(GossipWorld):
+    """Routers with gossip and stored peer addresses; the first two alive are store readers."""
 
     def __init__(self, seed=1):
         super().__init__(seed)
         self.store = FakeStore(self.loop)
-        self.contacts = {}
+        self.directories = {}
 
     def join(self, address):
         self.start(address, SEEDS)
         peers = self.routers[address]
-        self.contacts[address] = ContactDirectory(
+        self.directories[address] = PeerAddressDirectory(
             self.loop,
-            ReadersStore(self, peers),
+            RouterStore(self, peers),
             PLATFORM_ADAPTER,
             peers,
             lambda: peers.own.reads_store,
             random.Random(address),
         )
-        peers._refresh = lambda own: setattr(own, "reads_store", self.reads(peers))
-        self.contacts[address].start()
+        peers._refresh = lambda own: setattr(own, "reads_store", self.is_reader(peers))
+        self.directories[address].start()
 
-    def reads(self, peers):
-        """Whether a router reads the store: it knows no two others that do."""
+    def is_reader(self, peers):
+        """Return whether a router reads the store: it knows fewer than two other readers."""
         others = [record for record in peers.live() if record.reads_store]
         return peers.own.reads_store or len(others) < 2
 
     def sees(self, address):
-        return set(self.routers[address].named())
+        return set(self.routers[address].live_addresses())
 
     def stored(self):
         return self.store.objects["main"]["spec"]["addresses"]
 
 
-class ReadersStore:
-    """The store as one router calls it; a router that has ended takes no answer."""
+class RouterStore:
+    """The store as one router uses it; a stopped router makes no calls."""
 
     def __init__(self, world, peers):
         self.world = world
         self.peers = peers
 
     def call(self, call, timeout_s, on_answer):
-        if not self.peers.is_off:
+        if not self.peers.is_stopped:
             self.world.store.call(call, timeout_s, on_answer)
 
 
-def replaced(world, count=6):
-    """Replace all routers one by one by others at new addresses, also all seeds."""
+def replace_all_routers(world, count=6):
+    """Replace all routers one by one, including the seeds, by others at new addresses."""
     first = [*SEEDS, *(f"a{number}" for number in range(count - len(SEEDS)))]
     for address in first:
         world.join(address)
@@ -73,24 +77,25 @@
     return [f"b{number}" for number in range(count)]
 
 
+# Guards against new routers that each act as the only one, because all seeds are dead (soak seed
+# 3004).
 @pytest.mark.parametrize("seed", range(6))
-def test_routers_that_start_after_all_seeds_have_gone_find_the_others(seed):
-    """Newcomers that heard from nobody each counted as the only router (soak seed 3004)."""
-    world = ContactWorld(seed)
-    later = replaced(world)
+def test_routers_that_start_after_all_seeds_died_find_the_others(seed):
+    world = PeerAddressWorld(seed)
+    later = replace_all_routers(world)
     world.run(4.0)
     for address in later:
         assert world.sees(address) == set(later) - {address}
 
 
-def test_two_groups_that_do_not_know_each_other_merge():
-    world = ContactWorld()
+def test_two_groups_without_contact_merge():
+    world = PeerAddressWorld()
     for address in ("a1", "a2", "b1", "b2"):
         world.join(address)
     for group in (("a1", "a2"), ("b1", "b2")):
         one, other = (world.routers[address] for address in group)
-        one.introduce([other.own.address])
-    # The store is down while they start, so that neither group reads of the other.
+        one.send_record([other.own.address])
+    # The store is down while they start, so that neither group reads the other's addresses.
     world.store.is_silent = True
     world.run(3.0)
     world.store.is_silent = False
@@ -98,8 +103,8 @@
     assert world.sees("a1") == {"a2", "b1", "b2"}
 
 
-def test_a_router_that_hears_from_nobody_asks_the_store_once_in_a_while():
-    world = ContactWorld()
+def test_isolated_router_queries_the_store_at_a_low_rate():
+    world = PeerAddressWorld()
     world.join("a1")
     calls = []
     serve = world.store.call
@@ -109,41 +114,41 @@
     assert calls.count(b"GET") <= 8 and calls.count(b"POST") + calls.count(b"PUT") <= 2
 
 
-def test_one_router_writes_and_seldom():
-    world = ContactWorld()
+def test_one_router_writes_and_rarely():
+    world = PeerAddressWorld()
     for number in range(20):
         world.join(f"s{number + 1}")
     world.run(40.0)
-    assert len(world.stored()) == STORED_CONTACTS
+    assert len(world.stored()) == MAX_STORED_ADDRESSES
     assert len(world.store.writes) <= 8
 
 
-def test_whether_there_are_others_is_open_until_the_store_or_another_router_has_answered():
-    world = ContactWorld()
+def test_directory_is_unresolved_until_the_store_or_another_router_responds():
+    world = PeerAddressWorld()
     world.store.is_silent = True
     world.join("a1")
     world.run(10.0)
-    assert not world.contacts["a1"].is_resolved
+    assert not world.directories["a1"].is_resolved
     world.store.is_silent = False
     world.run(5.0)
-    assert world.contacts["a1"].is_resolved
+    assert world.directories["a1"].is_resolved
 
 
-def test_whether_there_are_others_is_open_while_those_named_may_still_answer():
-    world = ContactWorld()
+def test_directory_is_unresolved_while_stored_addresses_may_still_respond():
+    world = PeerAddressWorld()
     world.join("gone")
     world.run(5.0)
     world.stop("gone")
     world.join("a1")
     world.run(1.2)
-    assert not world.contacts["a1"].is_resolved
+    assert not world.directories["a1"].is_resolved
     world.run(4.0)
-    assert world.contacts["a1"].is_resolved
+    assert world.directories["a1"].is_resolved
     assert world.stored() == ["a1"]
 
 
-def test_a_lost_answer_to_a_write_is_read_again():
-    world = ContactWorld()
+def test_object_is_read_again_after_a_lost_response_to_a_write():
+    world = PeerAddressWorld()
     world.store.loses_answers = True
     world.join("a1")
     world.run(4.0)
@@ -152,16 +157,16 @@
     assert world.stored() == ["a1"]
 
 
-def test_contacts_that_live_stay_stored():
+def test_addresses_of_live_routers_stay_stored():
     stored = ("a", "b", "gone")
-    assert choose_contacts(stored, ["c", "b", "a"], ()) == ("a", "b", "c")
-    assert choose_contacts(stored, ["c", "b", "a"], ("gone",)) == ("a", "b", "gone", "c")
+    assert choose_addresses(stored, ["c", "b", "a"], ()) == ("a", "b", "c")
+    assert choose_addresses(stored, ["c", "b", "a"], ("gone",)) == ("a", "b", "gone", "c")
     many = [f"n{number}" for number in range(30)]
-    assert len(choose_contacts((), many, ())) == STORED_CONTACTS
+    assert len(choose_addresses((), many, ())) == MAX_STORED_ADDRESSES
 
 
-def test_an_object_that_cannot_be_read_is_replaced():
-    world = ContactWorld()
+def test_invalid_object_is_replaced():
+    world = PeerAddressWorld()
     metadata = {"name": "main", "revision": 1}
     world.store.revision = 1
     world.store.objects["main"] = {"metadata": metadata, "spec": {"addresses": 5}}
--- a/tests/router/test_runner_restarts.py
+++ b/tests/router/test_runner_restarts.py
@@ -3,12 +3,12 @@
 import pytest
 
 from martenrun.platform import PLATFORM_ADAPTER
-from martenrun.router.knowledge import RunnerDirectory
 from martenrun.router.messages import RouteKind, StoredObject
-from martenrun.router.peer_messages import SilenceNews, WeightsNews
+from martenrun.router.peer_messages import UnresponsiveRunnerUpdate, WeightsUpdate
 from martenrun.router.prefilled_parts import PrefilledParts
 from martenrun.router.runner_instance import instance_key
 from martenrun.router.runner_pool import RunnerPool
+from martenrun.router.store_state import RunnerDirectory
 from martenrun.router.unresponsive_runners import record_unresponsive
 from martenrun.router.weights_updates import apply_weights_update
 
@@ -63,7 +63,7 @@
     assert after is not before
     assert (after.load, after.backlog_tokens, after.weights_version("m")) == (0, 0.0, 2)
     assert not after.is_avoided(100.0)
-    assert known.runners.has_ended(before.runner) and not known.runners.has_ended(after.runner)
+    assert known.runners.is_replaced(before.runner) and not known.runners.is_replaced(after.runner)
 
 
 def test_late_updates_of_an_earlier_instance_are_ignored():
@@ -71,8 +71,8 @@
     before = known.put(entry())
     after = known.put(entry(BORN + 1))
     for instance in (before.runner.instance, "i-1"):
-        record_unresponsive(known, SilenceNews("10.0.0.2:7", instance), 100.0)
-        apply_weights_update(known, WeightsNews([instance], "m", 9, True))
+        record_unresponsive(known, UnresponsiveRunnerUpdate("10.0.0.2:7", instance), 100.0)
+        apply_weights_update(known, WeightsUpdate([instance], "m", 9, True))
     assert after.weights_version("m") == 2 and not after.is_avoided(100.0)
 
 
--- a/tests/router/test_store_client.py
+++ b/tests/router/test_store_client.py
@@ -1,8 +1,8 @@
-"""Calls to the store and to other routers: time-outs bound silence, not the size of an answer."""
+"""Calls to the store and to other routers: timeouts limit silence, not the response size."""
 
 import pytest
 
-from martenrun.router.store_client import LONGEST_ANSWER_S, SILENCE_S, CallReader
+from martenrun.router.store_client import MAX_RESPONSE_S, MAX_STALL_S, ResponseReader
 
 from .fakes import FakeLoop
 
@@ -10,69 +10,73 @@
 
 
 class Call:
-    """One call whose answer comes in parts."""
+    """One call whose response arrives in parts."""
 
-    def __init__(self, longest_s=None):
+    def __init__(self, max_response_s=None):
         self.loop = FakeLoop()
-        self.answers = []
-        self.heard = 0
-        self.reader = CallReader(
-            self.loop, TIMEOUT_S, self.answers.append, self._hear, longest_s=longest_s
+        self.responses = []
+        self.parts = 0
+        self.reader = ResponseReader(
+            self.loop,
+            TIMEOUT_S,
+            self.responses.append,
+            self._on_part,
+            max_response_s=max_response_s,
         )
 
-    def _hear(self):
-        self.heard += 1
+    def _on_part(self):
+        self.parts += 1
 
     def run(self, seconds):
         self.loop.run_until(self.loop.now() + seconds)
 
     def arrive(self, parts, gap_s):
-        """Let the head and so many parts come, one after each gap."""
+        """Deliver the head and a number of body parts, one after each gap."""
         self.reader.on_head(200, [], None)
         for _ in range(parts):
             self.run(gap_s)
             self.reader.on_body(b"x")
 
 
-def test_an_answer_that_goes_on_arriving_is_waited_for():
+def test_response_that_keeps_arriving_is_not_given_up():
     call = Call()
     call.run(0.8)
-    call.arrive(10, SILENCE_S * 0.9 / 2)
+    call.arrive(10, MAX_STALL_S * 0.9 / 2)
     call.reader.on_complete()
-    assert [answer.body for answer in call.answers] == [b"x" * 10]
-    assert call.heard == 11
+    assert [response.body for response in call.responses] == [b"x" * 10]
+    assert call.parts == 11
 
 
-def test_a_refusal_that_arrives_is_not_heard_of_as_an_answer():
+def test_parts_of_a_refusal_are_not_reported():
     call = Call()
     call.reader.on_head(503, [], None)
     call.reader.on_body(b"x")
     call.reader.on_complete()
-    assert call.heard == 0 and call.answers[0].status == 503
+    assert call.parts == 0 and call.responses[0].status == 503
 
 
-def test_a_call_that_hears_nothing_is_given_up_in_time():
+def test_call_without_a_response_times_out():
     call = Call()
     call.run(TIMEOUT_S + 0.01)
-    assert call.answers == [None]
+    assert call.responses == [None]
 
 
-def test_an_answer_that_stands_still_is_given_up():
+def test_stalled_response_is_given_up():
     call = Call()
     call.arrive(3, 0.4)
-    call.run(SILENCE_S + 0.01)
-    assert call.answers == [None]
+    call.run(MAX_STALL_S + 0.01)
+    assert call.responses == [None]
 
 
 @pytest.mark.parametrize(
-    ("longest_s", "expected"), [(None, TIMEOUT_S + LONGEST_ANSWER_S), (0.9, 0.9)]
+    ("max_response_s", "expected"), [(None, TIMEOUT_S + MAX_RESPONSE_S), (0.9, 0.9)]
 )
-def test_an_answer_without_end_is_given_up(longest_s, expected):
-    call = Call(longest_s)
+def test_endless_response_is_given_up(max_response_s, expected):
+    call = Call(max_response_s)
     began_at = call.loop.now()
     call.reader.on_head(200, [], None)
-    while not call.answers:
+    while not call.responses:
         call.run(0.1)
         call.reader.on_body(b"x")
-    assert call.answers == [None]
+    assert call.responses == [None]
     assert call.loop.now() - began_at == pytest.approx(expected, abs=0.15)
--- a/tests/router/test_unresponsive_runners.py
+++ b/tests/router/test_unresponsive_runners.py
@@ -6,7 +6,7 @@
 
 import random
 
-from martenrun.router.peer_messages import SilenceNews
+from martenrun.router.peer_messages import UnresponsiveRunnerUpdate
 from martenrun.router.runner_state import UNRESPONSIVE_AFTER_S, RunnerState
 from martenrun.router.unresponsive_reports import (
     JITTER_SHARE,
@@ -109,8 +109,8 @@
     other.record_data(1.5)
     assert newly_unresponsive(services, 1.1 + UNRESPONSIVE_AFTER_S) == ["i-0"]
     assert newly_unresponsive(services, 1.2 + UNRESPONSIVE_AFTER_S) == []
-    record_unresponsive(services, SilenceNews("a", "i-0"), 2.0)
-    record_unresponsive(services, SilenceNews("b", "i-0"), 2.0)
+    record_unresponsive(services, UnresponsiveRunnerUpdate("a", "i-0"), 2.0)
+    record_unresponsive(services, UnresponsiveRunnerUpdate("b", "i-0"), 2.0)
     assert unresponsive.is_avoided(2.1) and not other.is_avoided(2.1)
     unresponsive.record_data(2.2)
     assert not unresponsive.is_avoided(2.3)
--- a/tests/router/test_weights_rollout.py
+++ b/tests/router/test_weights_rollout.py
@@ -25,7 +25,7 @@
     states = [RunnerState(runner(f"i-{n}")) for n in range(RUNNERS)]
     services = services_with(states)
     broadcasts = []
-    rollout = WeightsRollout(services, SimpleNamespace(tell_all=broadcasts.append), None)
+    rollout = WeightsRollout(services, SimpleNamespace(broadcast=broadcasts.append), None)
     for state in states:
         rollout._report_load(state, "m", 2, is_loaded=False)
     assert broadcasts == [] and all(state.is_avoided(services.loop.now()) for state in states)
--- a/tests/router/test_zone_loads.py
+++ b/tests/router/test_zone_loads.py
@@ -101,12 +101,12 @@
     loads.refresh()
     assert state.backlog_tokens == 9_100
     loads.send_zone_loads()
-    forwarded = [update for addresses, update in peers.sums if addresses == ["near"]]
-    assert forwarded == [ZoneLoads({"y": {"i-0": RunnerLoad(2, 9_000, 0)}}, is_passed_on=True)]
-    peers.sums.clear()
+    forwarded = [update for addresses, update in peers.zone_loads if addresses == ["near"]]
+    assert forwarded == [ZoneLoads({"y": {"i-0": RunnerLoad(2, 9_000, 0)}}, is_forwarded=True)]
+    peers.zone_loads.clear()
     loads.merge_zone_loads(forwarded[0])
     loads.send_zone_loads()
-    assert [addresses for addresses, _ in peers.sums if addresses == ["near"]] == []
+    assert [addresses for addresses, _ in peers.zone_loads if addresses == ["near"]] == []
 
 
 class LoadedFleet:
@@ -130,8 +130,8 @@
         loads = LoadExchange(pool, peers)
         peers._refresh = lambda own: setattr(own, "loads", loads.own_loads())
         peers._on_records = loads.update_from_records
-        peers._on_reading = loads.mark_outdated
-        peers._on_sums = loads.merge_zone_loads
+        peers._on_load_update = loads.mark_outdated
+        peers._on_zone_loads = loads.merge_zone_loads
         self.exchanges[address] = loads
         self.pools[address] = pool
         self._send_zone_loads(loads)
