--- a/src/martenrun/platform/standins/store.py
+++ b/src/martenrun/platform/standins/store.py
@@ -1,6 +1,6 @@
 """Stand-in for the platform's store: revisions, lists, watches and conditional writes by kind.
 
-Faults are injected by attributes: ``is_down`` answers 503, ``is_silent`` withholds every response,
+Faults are injected by attributes: ``is_down`` responds 503, ``is_silent`` withholds every response,
 ``loses`` applies writes but drops their responses.  ``forget_history`` makes watches start over.
 """
 
@@ -135,9 +135,9 @@
             self._respond(404 if item is None else 200, item or {})
         elif "watch" in query:
             wait_s = int(query.get("wait_ms", ["0"])[0]) / 1000.0
-            answer = self.store.watch(kind, int(query["watch"][0]), wait_s)
+            response = self.store.watch(kind, int(query["watch"][0]), wait_s)
             if self._is_serving():
-                self._respond(410 if answer is None else 200, answer or {})
+                self._respond(410 if response is None else 200, response or {})
         else:
             self._respond(200, self.store.list(kind))
 
