--- a/src/martenrun/router/quotas/__init__.py
+++ b/src/martenrun/router/quotas/__init__.py
@@ -1,7 +1,8 @@
-"""Tenants' rates, held by all routers together.
+"""Rate limits that are enforced jointly by all routers.
 
-Each tenant's account is owned by two routers, the same for all that ask (:mod:`.owners`).  Every
-request of a tenant with a limit asks one of them before it is sent to a runner (:mod:`.gate`); what
-one of the two grants it replicates to the other (:mod:`.service`).  A router that comes to own an
-account recovers it from what the others remember (:mod:`.recovery`).
+Each account is owned by two routers, selected identically by all routers (:mod:`.owners`).  Every
+request of a tenant with a limit needs a grant from one of them before it is sent to a runner
+(:mod:`.gate`).  The owner that grants replicates the use to the other one (:mod:`.service`).  A
+router that becomes an owner recovers the account from what other routers remember
+(:mod:`.recovery`).
 """
--- a/src/martenrun/router/quotas/account.py
+++ b/src/martenrun/router/quotas/account.py
@@ -1,4 +1,7 @@
-"""One tenant's account: what it may still use, at one router.  Pure, with the times handed in."""
+"""The balance of one rate-limited account.
+
+Callers pass in the time; nothing here reads a clock.
+"""
 
 import collections
 import enum
@@ -12,37 +15,38 @@
 from martenrun.router.quotas.messages import VersionedLimit
 
 SPARE_SHARE = 1 / 8
-"""Part of the fixed slack that a full account holds beside the burst, and that it may owe.
+"""Fraction of the fixed slack that is added to the burst, and that an account may overdraw.
 
-What it holds lets requests pass that arrive closer together than they were sent; what it may owe
-lets one pass that is larger than what is left, so that large and small ones pass alike.
+The larger bucket admits requests that arrive closer together than they were sent.  The overdraft
+admits a request larger than the remaining balance, so that large requests are not starved by small
+ones.
 """
 
 RESTARTED_SHARE = 3 / 16
-"""Part of the slack that an account holds at first whose earlier grants are lost.
+"""Fraction of the slack that an account starts with when its earlier grants are lost.
 
-Callers come back together then.  A tenant that had used all before gets so much beyond its limit
-each time that all routers which knew of its grants are gone.
+A small balance is left because callers reconnect at once after a restart.  A tenant that had used
+up its limit gains this much beyond it each time all routers that knew of its grants are gone.
 """
 
 MAJORITY_SHARE = 0.5
-"""Part of a limit from which on a request may pass that is larger than the account can hold.
+"""Share of a limit from which an account may grant a request larger than its capacity.
 
-Many routers that are cut off one by one have small parts each: one such request at every one of
-them would be more than all parts together.
+Routers that are each cut off from all others have small shares.  One oversized request at each of
+them would exceed the sum of the shares.
 """
 
 MINIMUM_UNITS_PER_S = 1e-6
-"""Least rate reckoned with, so that every wait is finite."""
+"""Lower bound of the refill rate, which keeps every wait finite."""
 
 
 GrantKey = tuple[str, int]
-"""Names a grant: the internal address of its asker, and its number there."""
+"""Identifies a grant: the internal address of its requester and the requester's grant number."""
 
 
 @attrs.frozen
 class PastUse:
-    """Units of one grant, used at a steady time in seconds; 0 if nothing was used after all."""
+    """The units used by one grant, 0 if unused, and its monotonic time in seconds."""
 
     key: GrantKey
     units: int
@@ -51,11 +55,11 @@
 
 @attrs.frozen
 class Part:
-    """The part of a limit that one account may grant.
+    """The share of a limit that one account may grant.
 
     Attributes:
-        share: of all of it.
-        pace: of the rate, beside that; what the account holds stays.
+        share: fraction of the rate and of the burst.
+        rate_factor: additional factor of the rate only; the burst is unaffected.
     """
 
     share: float = 1.0
@@ -64,11 +68,11 @@
 
 @attrs.frozen
 class Verdict:
-    """Whether units may be used, or after how many seconds the caller should come back.
+    """Whether units were granted, and otherwise the delay before the caller should retry.
 
     Attributes:
         owner: internal address of the router that decided.
-        balance: units left in its account afterwards; below zero there is a debt.
+        balance: units left in its account afterwards; negative if the account is overdrawn.
     """
 
     is_granted: bool
@@ -78,30 +82,30 @@
 
 
 class InitialBalance(enum.Enum):
-    """What an account begins with, by what others may have granted before."""
+    """How the opening balance of an account is determined."""
 
     FULL = "full"
-    """All earlier grants that still count are known: the whole burst, less those."""
+    """All grants of the last window are known: the full burst minus those grants."""
 
     RESTARTED = "restarted"
-    """Earlier grants are lost with the routers that knew them: the burst counts as used."""
+    """The routers that knew of earlier grants are gone: the burst counts as used."""
 
     SUBSTITUTE = "substitute"
-    """The owners may go on granting elsewhere: the burst counts as used, and little is spare."""
+    """The owners may still be granting elsewhere: the burst counts as used, less is left."""
 
     TRANSFERRED = "transferred"
-    """The balance of another owner's account."""
+    """The balance was copied from another owner's account."""
 
 
 class Account:
-    """What a tenant has left.
+    """The remaining units of one tenant or runner.
 
     Args:
-        part: what this account may grant of the limit.
+        part: the share of the limit that this account may grant.
 
     Attributes:
-        covered_since: steady time since which the account counts every grant, in seconds.
-        used_at: steady time of the last grant or question.
+        covered_since: monotonic time since which every grant is counted, in seconds.
+        used_at: monotonic time of the last grant or request, in seconds.
     """
 
     def __init__(
@@ -128,10 +132,10 @@
         self.used_at = now
 
     def adopt(self, balance: float, uses: Sequence[PastUse], covered_since: float) -> None:
-        """Go on with another account's balance, which contains some uses already.
+        """Continue from another account's balance, which already includes the given uses.
 
         Args:
-            covered_since: steady time since which that account counted every grant, in seconds.
+            covered_since: monotonic time since which that account counted every grant, in seconds.
         """
         now = self.used_at
         self._bucket.take(self._bucket.level(now) - balance, now)
@@ -140,33 +144,33 @@
         self.covered_since = covered_since
 
     def lower_to(self, balance: float, now: float) -> None:
-        """Reduce the balance to what another count leaves, if that is less."""
+        """Reduce the balance to the given one if that is lower."""
         self._bucket.take(max(0.0, self._bucket.level(now) - balance), now)
 
     def remember(self, use: PastUse) -> None:
-        """Note a use that the balance contains already."""
+        """Register a use that the balance already includes."""
         self._grants[use.key] = (use.units, use.at)
 
     def covered_s(self, now: float) -> float:
-        """Return for how long every grant has been counted, a window at most, in seconds."""
+        """Return for how long every grant has been counted, at most one window, in seconds."""
         return min(self._bounds.window_s, now - self.covered_since)
 
     def recent_uses(self, now: float) -> list[PastUse]:
-        """Return the uses of the last window."""
+        """Return the uses within the last window."""
         self._forget_grants(now)
         return [PastUse(key, units, at) for key, (units, at) in self._grants.items()]
 
     @property
     def limit(self) -> VersionedLimit:
-        """The limit in force."""
+        """The limit in effect."""
         return self._limit
 
     def level(self, now: float) -> float:
-        """Return the units that are left; below zero there is a debt."""
+        """Return the remaining units; negative if the account is overdrawn."""
         return self._bucket.level(now)
 
     def learn(self, limit: VersionedLimit, bounds: QuotaBounds, part: Part, now: float) -> None:
-        """Put a later configuration's limit in force, and the part of it that may be granted."""
+        """Apply the limit of a newer configuration and the share of it that may be granted."""
         newest = limit if limit.configuration > self._limit.configuration else self._limit
         if (newest, bounds, part) == (self._limit, self._bounds, self._part):
             return
@@ -174,11 +178,11 @@
         self._limit, self._bounds, self._part = newest, bounds, part
         self._bucket.change_rate(*self._figures(), now)
         if added > 0:
-            # What a raised limit adds to the burst may be used at once.
+            # Units that a raised limit adds to the burst are available immediately.
             self._bucket.take(-added * part.share, now)
 
     def ask(self, grant: GrantKey, units: int, now: float) -> Verdict | None:
-        """Grant units if they are left; None if the asker has given this grant up."""
+        """Grant units if they are available; return None if the requester returned this grant."""
         self.used_at = now
         known = self._grants.get(grant)
         if known is not None:
@@ -192,7 +196,7 @@
         return Verdict(True)
 
     def note_use(self, grant: GrantKey, units: int, now: float) -> None:
-        """Count what a grant is use_now, however often that is told."""
+        """Set the units used by a grant; repeated reports of the same use count once."""
         self.used_at = now
         self._forget_grants(now)
         before, _ = self._grants.pop(grant, (0, now))
@@ -200,30 +204,33 @@
         self._bucket.take(float(self._bounded(units) - self._bounded(before)), now)
 
     def _figures(self) -> tuple[float, float]:
-        """Return the bucket's rate and how much it holds."""
+        """Return the refill rate and the capacity of the bucket."""
         per_s = self._limit.units_per_s * self._part.share * self._part.pace
         held = self._limit.burst_units * self._part.share + self._spare_units
         return max(MINIMUM_UNITS_PER_S, per_s), held
 
     @property
     def _slack(self) -> float:
-        """The units above the limit that this account may grant in a window."""
+        """The units above the limit that this account may grant within a window."""
         limit = self._limit
         return self._bounds.slack(limit.units_per_s, limit.burst_units) * self._part.share
 
     @property
     def _spare_units(self) -> float:
-        """The units that are held beside the burst, and may be owed."""
+        """The units added to the burst, which is also the overdraft limit."""
         return self._bounds.slack_units * self._part.share * SPARE_SHARE
 
     def _bounded(self, units: int) -> int:
-        """Return units up to a window's use_now: no single request closes an account for longer."""
+        """Cap units at one window's allowance, so that no request blocks an account for longer."""
         limit = self._limit
         most = self._bounds.window_units(limit.units_per_s, limit.burst_units)
         return int(min(units, most + 1))
 
     def _turn_s(self, units: int, wait_s: float, now: float) -> float:
-        """Return when a refused request has its turn, after those refused before it."""
+        """Return the delay before a refused request should be retried.
+
+        Retries are scheduled one after the other, in the order of the refusals.
+        """
         turn_at = max(now + wait_s, self._promised_until)
         after_it = turn_at + self._bounded(units) / self._bucket.rate
         self._promised_until = min(after_it, now + self._bounds.window_s)
--- a/src/martenrun/router/quotas/gate.py
+++ b/src/martenrun/router/quotas/gate.py
@@ -1,8 +1,8 @@
-"""Asks for each request of a tenant with a limit whether it may use its units now.
+"""Obtains grants from the owners of rate-limited accounts.
 
-The owners of the tenant's account are asked one after the other.  Where none answers, this router
-grants its own even part of the limit: what all routers that are cut off grant so stays within what
-the owners, which see that routers are missing, leave to them.
+The owners of an account are asked one after the other.  If none responds, this router grants units
+from its own even share of the limit.  The shares of all routers that are cut off stay within what
+the owners leave unused, because owners reduce their own share when routers are missing.
 """
 
 import collections
@@ -42,34 +42,35 @@
 from martenrun.router.settings import RouterSettings
 
 ANSWER_TIMEOUT_S = 0.06
-"""How long an owner may take to answer before the next is asked, in seconds."""
+"""Time after which the next owner is asked, in seconds."""
 
 SUSPECTED_FOR_S = 1.0
-"""For how long a router that has not answered is asked last, in seconds."""
+"""How long a router that has not responded is asked last, in seconds."""
 
 START_UP_S = 4.0
-"""Time from a router's start until it chooses owners by its own view, in seconds."""
+"""Time after startup before a router selects owners by its own membership view, in seconds."""
 
 PAUSE_S = 1.0
-"""Time without a look at the clock after which this process was paused, in seconds."""
+"""Gap between two clock checks that means that the process was suspended, in seconds."""
 
 ALONE_SHARE = 0.5
-"""Part of its even share of a limit that a router grants which reaches no other."""
+"""Fraction of its even share of a limit that an isolated router grants."""
 
 UNKNOWN_ROUTERS = 100
-"""Routers reckoned with by one that is starting and reaches no other."""
+"""Number of routers assumed by a router that is starting and reaches no other."""
 
 
 @attrs.define(eq=False)
 class Grant:
-    """A question for units and what became of it.
+    """A request for units and its outcome.
 
     Attributes:
         on_decided: called once with this grant.
         remaining, asked: the routers still to be asked, and those asked so far.
-        is_alone: no other router has answered.
-        is_sure: whoever has decided sees most routers, so that a refused tenant is over its limit.
-        wait_s: after how many seconds to come back if it was not granted.
+        is_isolated: whether no other router responded.
+        is_conclusive: whether the deciding router sees a majority of the routers, so that a
+            refusal means that the tenant is over its limit.
+        wait_s: delay before a retry if the units were refused, in seconds.
         owner, balance: the router that decided, and the units left in its account.
     """
 
@@ -88,25 +89,25 @@
 
 
 class GrantMemory:
-    """The grants that this router got for its own requests within the last window."""
+    """The grants that this router obtained for its own requests within the last window."""
 
     def __init__(self, own_address: str) -> None:
         self._own = own_address
         self._uses: dict[str, collections.OrderedDict[int, PastUse]] = {}
 
     def note(self, tenant: str, number: int, units: int, now: float) -> None:
-        """Remember what a grant is worth from now on; a grant keeps its time."""
+        """Set the units used by a grant; the time of its first record is kept."""
         uses = self._uses.setdefault(tenant, collections.OrderedDict())
         earlier = uses.get(number)
         at = now if earlier is None else earlier.at
         uses[number] = PastUse((self._own, number), units, at)
 
     def uses(self, tenant: str, since: float) -> list[PastUse]:
-        """Return the grants of a tenant since a steady time."""
+        """Return a tenant's grants since a monotonic time."""
         return [use for use in self._uses.get(tenant, {}).values() if use.at >= since]
 
     def forget_before(self, since: float) -> None:
-        """Drop grants of before a steady time."""
+        """Drop grants older than a monotonic time."""
         for tenant, uses in list(self._uses.items()):
             while uses and next(iter(uses.values())).at < since:
                 uses.popitem(last=False)
@@ -115,13 +116,13 @@
 
 
 class QuotaGate:
-    """Grants for the requests of one router, and its part in owning accounts.
+    """Obtains grants for the requests of one router and serves the accounts that it owns.
 
     Args:
-        owners: who owns an account.
-        configuration: returns the version of the configuration in force here.
-        settings: returns the settings in force.
-        count: counts how a question ended, by a word.
+        owners: selects the owners of an account.
+        configuration: returns the version of the configuration in effect here.
+        settings: returns the settings in effect.
+        count: increments the metric of grant requests with the given outcome.
     """
 
     def __init__(
@@ -143,7 +144,7 @@
         self._count = count
         now = loop.now()
         is_first = settings().is_first_start
-        # Nothing was granted anywhere before the first start of all routers.
+        # Before the first start of all routers no grants exist.
         self._remembers_since = -math.inf if is_first else now
         self._established_since = -math.inf if is_first else now
         self._started_at = now
@@ -153,28 +154,28 @@
         self._alone = Ledger(self._bounds, self._even_part)
         self._pending: dict[int, Grant] = {}
         self._suspected: dict[str, float] = {}
-        # Numbers of an earlier life of this router must not be met again.
+        # Grant numbers must not repeat those of an earlier incarnation of this router.
         self._number = random.SystemRandom().getrandbits(48)
 
     def __len__(self) -> int:
         return len(self._service)
 
     def stage(self) -> QuotaStage:
-        """Return what this router tells of the accounts that it owns."""
+        """Return the stage that this router advertises as an owner of accounts."""
         up_s = self._loop.now() - self._established_since
         is_established = up_s > self._settings().bounds.longest_window_s
         return QuotaStage.ESTABLISHED if is_established else QuotaStage.JOINING
 
     def is_starting(self) -> bool:
-        """Whether this router started so shortly ago that its view of the others may differ."""
+        """Whether this router started too recently to rely on its own membership view."""
         return self._loop.now() - self._started_at <= START_UP_S
 
     def views(self) -> list[AccountView]:
-        """Return the accounts kept here."""
+        """Return the accounts held by this router."""
         return self._service.views()
 
     def keep_house(self) -> None:
-        """Drop what is not needed any more."""
+        """Drop expired state and detect suspensions of the process."""
         now = self._loop.now()
         self._detect_pause(now)
         self._service.keep_house()
@@ -182,7 +183,7 @@
         self._memory.forget_before(now - self._settings().bounds.longest_window_s)
         self._suspected = {name: until for name, until in self._suspected.items() if until > now}
 
-    # Asking
+    # Requests for grants
 
     def ask(
         self,
@@ -192,7 +193,7 @@
         on_decided: Callable[[Grant], None],
         version: int | None = None,
     ) -> Grant:
-        """Ask for units; it may be decided before this returns.
+        """Request units; the decision may be made before this returns.
 
         Args:
             version: version of the limit, the highest of which takes precedence; None for the
@@ -214,7 +215,7 @@
         return grant
 
     def give_back(self, grant: Grant) -> None:
-        """Nothing was used of a grant, and nothing will be."""
+        """Return the units of a grant that will not be used."""
         if grant.is_decided and not grant.is_granted:
             return
         if grant.is_granted:
@@ -249,7 +250,7 @@
         self._ask_next(grant)
 
     def _grant_alone(self, grant: Grant) -> None:
-        """Decide by this router's even part of the limit."""
+        """Decide by this router's even share of the limit."""
         use = grant.use
         now = self._loop.now()
         ask = QuotaAsk(use.tenant, use.asker, use.number, use.units, use.limit)
@@ -277,7 +278,7 @@
         grant.owner, grant.balance = verdict.owner, verdict.balance
         grant.is_sure = not grant.is_alone and self._owners.seen_share() >= MAJORITY_SHARE
         if grant.is_alone or (len(grant.asked) > 1 and not verdict.is_granted):
-            # Who stayed silent may read the question late and count what it asked for.
+            # An owner that did not respond may process the request late and count its units.
             self._announce_use(grant, use.units if verdict.is_granted else 0)
         self._count("granted" if verdict.is_granted else "refused")
         grant.on_decided(grant)
@@ -290,7 +291,7 @@
             grant.timer.cancel()
 
     def _announce_use(self, grant: Grant, units: int) -> None:
-        """Tell all that were asked what a grant is worth."""
+        """Report the units used by a grant to all routers that were asked for it."""
         use = grant.use
         use_now = msgspec.structs.replace(use, units=units)
         if grant.is_alone:
@@ -311,7 +312,7 @@
     # Messages
 
     def take(self, message: QuotaMessage) -> None:
-        """Take in what another router asks or tells."""
+        """Handle a message from another router."""
         self._detect_pause(self._loop.now())
         if isinstance(message, QuotaAsk):
             self._service.serve(message)
@@ -327,7 +328,7 @@
             self._take_answer(message)
 
     def _detect_pause(self, now: float) -> None:
-        """Drop all accounts after a pause: the other owner has granted meanwhile."""
+        """Drop all accounts after a suspension, during which the other owner kept granting."""
         if now - self._checked_at > PAUSE_S:
             log_event("quota_accounts_reset", paused_s=round(now - self._checked_at, 1))
             self._started_at = self._established_since = now
@@ -335,7 +336,7 @@
         self._checked_at = now
 
     def _own_memory(self, tenant: str) -> tuple[list[PastUse], float]:
-        """Return this router's grants of the last window, and how far back it remembers them."""
+        """Return this router's grants of the last window, and how far back they are complete."""
         now = self._loop.now()
         uses = self._memory.uses(tenant, now - self._bounds(tenant).window_s)
         return uses, now - self._remembers_since
--- a/src/martenrun/router/quotas/ledger.py
+++ b/src/martenrun/router/quotas/ledger.py
@@ -1,4 +1,7 @@
-"""The accounts of one router.  Pure, with the times handed in."""
+"""The accounts held by one router.
+
+Callers pass in the time; nothing here reads a clock.
+"""
 
 from collections.abc import Callable, Sequence
 
@@ -9,15 +12,15 @@
 from martenrun.router.quotas.messages import QuotaAsk, QuotaUse
 
 KEPT_FOR_S = 120.0
-"""For how long an account is kept that nobody asks for, in seconds: it is full again by then."""
+"""Idle time after which an account is dropped, in seconds; it has refilled by then."""
 
 MOST_ACCOUNTS = 20_000
-"""Most accounts kept; above that those unused for longest go."""
+"""Maximum number of accounts; beyond it the least recently used ones are dropped."""
 
 
 @attrs.frozen
 class AccountView:
-    """An account as operators see it; units, and units a second."""
+    """An account as shown to operators, in units and units per second."""
 
     tenant: str
     left: float
@@ -27,11 +30,11 @@
 
 
 class Ledger:
-    """Accounts by tenant.
+    """Accounts by name.
 
     Args:
         bounds: returns the enforcement bounds for an account.
-        part: returns the part of each limit that accounts here may grant, by tenant.
+        part: returns the share of a limit that an account here may grant, by account name.
     """
 
     def __init__(self, bounds: Callable[[str], QuotaBounds], part: Callable[[str], Part]) -> None:
@@ -44,17 +47,18 @@
         return len(self._accounts)
 
     def has(self, tenant: str) -> bool:
-        """Whether there is an account of a tenant here, current or not."""
+        """Whether a tenant has an account here, current or stale."""
         return tenant in self._accounts
 
     def is_current(self, tenant: str) -> bool:
-        """Whether there is an account here that counts every grant."""
+        """Whether a tenant has an account here that counts every grant."""
         return tenant in self._accounts and tenant not in self._stale
 
     def put(self, tenant: str, account: Account, now: float) -> None:
-        """Take a current account in, in place of an earlier one.
+        """Store a current account, replacing an earlier one.
 
-        The earlier one counted at least what was granted here, which the new one may not.
+        The earlier account counted all grants made here.  If the new one does not cover a whole
+        window, its balance is capped at the earlier one's.
         """
         earlier = self._accounts.get(tenant)
         if earlier is not None and account.covered_s(now) < self._bounds(tenant).window_s:
@@ -65,23 +69,23 @@
         self._stale.discard(tenant)
 
     def mark_stale(self, is_informed: Callable[[str], bool]) -> None:
-        """Note which accounts miss grants, since the owners do not replicate them to here."""
+        """Mark the accounts whose grants are not replicated to this router as stale."""
         self._stale.update(tenant for tenant in self._accounts if not is_informed(tenant))
 
     def ask(self, ask: QuotaAsk, now: float) -> Verdict | None:
-        """Grant units of a tenant's account, or not; None if the asker has given up."""
+        """Grant units of a tenant's account; return None if the requester returned the grant."""
         account = self._accounts[ask.tenant]
         account.learn(ask.limit, self._bounds(ask.tenant), self._part(ask.tenant), now)
         return account.ask((ask.asker, ask.number), ask.units, now)
 
     def note_use(self, use: QuotaUse, now: float) -> None:
-        """Count what was used elsewhere, or not used after all."""
+        """Apply a use that another router reported."""
         account = self._accounts[use.tenant]
         account.learn(use.limit, self._bounds(use.tenant), self._part(use.tenant), now)
         account.note_use((use.asker, use.number), use.units, now)
 
     def count_late(self, tenant: str, uses: Sequence[PastUse], now: float) -> None:
-        """Count uses of the last window that are heard of late, if there is an account here."""
+        """Count uses of the last window that were reported late, if there is an account."""
         account = self._accounts.get(tenant)
         if account is not None:
             known = {use.key for use in account.recent_uses(now)}
@@ -90,12 +94,12 @@
                     account.note_use(use.key, use.units, now)
 
     def recent_uses(self, tenant: str, now: float) -> list[PastUse]:
-        """Return the uses of a tenant that are known here, none without an account."""
+        """Return the uses of a tenant known here; empty without an account."""
         account = self._accounts.get(tenant)
         return [] if account is None else account.recent_uses(now)
 
     def balance(self, tenant: str, now: float) -> float:
-        """Return the units that a tenant has left here, 0 without an account."""
+        """Return the remaining units of a tenant; 0 without an account."""
         account = self._accounts.get(tenant)
         return 0.0 if account is None else account.level(now)
 
@@ -104,7 +108,7 @@
         return self._accounts[tenant].covered_s(now)
 
     def views(self, now: float) -> list[AccountView]:
-        """Return what operators see, tenants with least left first."""
+        """Return the accounts as shown to operators, lowest balance first."""
         views = [
             AccountView(
                 tenant=display_name(tenant),
@@ -118,7 +122,7 @@
         return sorted(views, key=lambda view: view.left / max(1.0, view.per_s))
 
     def forget_idle(self, now: float) -> None:
-        """Drop accounts that nobody has asked for long."""
+        """Drop accounts that have not been used recently."""
         idle = [
             tenant
             for tenant, account in self._accounts.items()
--- a/src/martenrun/router/quotas/limit.py
+++ b/src/martenrun/router/quotas/limit.py
@@ -29,10 +29,10 @@
     """A rate limit shared by all routers.
 
     Attributes:
-        units_per_s: units that may be used a second.
-        burst_units: units on top at once.
-        counts_tokens: whether a unit is a token; else each request is one unit.
-        plain_tokens: tokens that a request counts for which tells of none.
+        units_per_s: sustained rate in units per second.
+        burst_units: additional units that may be used at once.
+        counts_tokens: whether a unit is a token; otherwise each request counts as one unit.
+        plain_tokens: tokens assumed for a request that does not state its token count.
     """
 
     units_per_s: float
@@ -41,9 +41,12 @@
     plain_tokens: int = 1
 
     def units(self, tokens: int | None) -> int:
-        """Return what a request counts for; ``tokens`` of prompt and answer, None if it has none.
+        """Return the units of a request.
 
-        Never less than one: no request is free.
+        At least one, so that no request is free.
+
+        Args:
+            tokens: tokens of the prompt and of the longest response, None if not stated.
         """
         if not self.counts_tokens:
             return 1
@@ -52,12 +55,12 @@
 
 @attrs.frozen
 class QuotaBounds:
-    """How exactly limits are to be kept.
+    """How precisely limits are enforced.
 
     Attributes:
-        window_s: any span of this length is counted, in seconds.
-        over_share: part of a limit's units of one window that may pass above it.
-        slack_units: units that may pass above that.
+        window_s: length of the sliding window in which units are counted, in seconds.
+        over_share: fraction of a window's allowance that may be granted beyond the limit.
+        slack_units: units that may be granted in addition to that.
     """
 
     window_s: float = 8.0
@@ -65,11 +68,11 @@
     slack_units: float = 0.0
 
     def window_units(self, units_per_s: float, burst_units: float) -> float:
-        """Return the units that a limit allows in a window."""
+        """Return the units that a limit allows within a window."""
         return units_per_s * self.window_s + burst_units
 
     def slack(self, units_per_s: float, burst_units: float) -> float:
-        """Return the units that may pass in a window beyond a limit."""
+        """Return the units that may be granted beyond a limit within a window."""
         return self.window_units(units_per_s, burst_units) * self.over_share + self.slack_units
 
 
--- a/src/martenrun/router/quotas/messages.py
+++ b/src/martenrun/router/quotas/messages.py
@@ -1,4 +1,4 @@
-"""What routers tell each other of tenants' rates, in datagrams."""
+"""Messages that routers exchange about rate-limited accounts, sent as datagrams."""
 
 import enum
 
@@ -6,20 +6,20 @@
 
 
 class QuotaStage(enum.IntEnum):
-    """What a router tells of its part in owning accounts."""
+    """How far a router takes part in owning accounts."""
 
     NONE = 0
-    """It owns none and asks nobody: a version without rates."""
+    """It owns no accounts and requests no grants: a version without rate limits."""
 
     JOINING = 1
-    """It owns accounts and has run for less than a window."""
+    """It owns accounts and has run for less than one window."""
 
     ESTABLISHED = 2
-    """It has run for a whole window."""
+    """It has run for at least one window."""
 
 
 class VersionedLimit(msgspec.Struct, array_like=True, frozen=True):
-    """A tenant's limit as the asker knows it: of two, that of the later configuration holds."""
+    """A limit as known to the requester; the one of the newest configuration applies."""
 
     configuration: int
     units_per_s: float
@@ -27,12 +27,12 @@
 
 
 class QuotaAsk(msgspec.Struct, array_like=True, frozen=True, tag="quota"):
-    """Asks whether a tenant may use so many units now.
+    """Requests units of an account.
 
     Attributes:
-        asker: internal address that the answer goes to.
-        number: names the grant among those of its asker, over all its lives.
-        is_final: the listener answers by its own account, whoever it believes to keep it.
+        requester: internal address that the response is sent to.
+        number: identifies the grant among those of its requester, over all its incarnations.
+        is_final: the receiver must decide by its own account instead of forwarding the request.
     """
 
     tenant: str
@@ -44,11 +44,11 @@
 
 
 class QuotaAnswer(msgspec.Struct, array_like=True, frozen=True, tag="granted"):
-    """Whether they may be used, or in how many milliseconds it may be asked again.
+    """Reports whether units were granted, and otherwise the delay before a retry.
 
     Attributes:
         owner: internal address of the router that decided.
-        balance: units left in its account afterwards; below zero there is a debt.
+        balance: units left in its account afterwards; negative if the account is overdrawn.
     """
 
     number: int
@@ -59,10 +59,10 @@
 
 
 class QuotaUse(msgspec.Struct, array_like=True, frozen=True, tag="used"):
-    """What a grant is use_now from now on: 0 units if nothing was used of it.
+    """Sets the units used by a grant; 0 if it was not used.
 
     Attributes:
-        forwarder: the other owner that replicates the use, empty where the asker itself tells it.
+        forwarder: the owner that replicates the use; empty if the requester itself sent it.
     """
 
     tenant: str
@@ -74,16 +74,16 @@
 
 
 class QuotaAck(msgspec.Struct, array_like=True, frozen=True, tag="seen"):
-    """Acknowledges replicated uses: the other owner is in touch."""
+    """Acknowledges replicated uses, which shows that the other owner is reachable."""
 
     replica: str
 
 
 class QuotaRecall(msgspec.Struct, array_like=True, frozen=True, tag="recall"):
-    """Asks every router what it knows of a tenant's grants within the last window.
+    """Asks all routers for the grants of an account within the last window.
 
     Attributes:
-        asker: internal address that the answer goes to.
+        requester: internal address that the response is sent to.
     """
 
     tenant: str
@@ -91,12 +91,12 @@
 
 
 class RecalledUse(msgspec.Struct, array_like=True, frozen=True):
-    """A grant as a router remembers it.
+    """A grant as remembered by a router.
 
     Attributes:
-        asker, number: name the grant.
-        units: what was used of it.
-        age_ms: how long ago it was granted, in milliseconds.
+        requester, number: identify the grant.
+        units: units used by it.
+        age_ms: time since it was granted, in milliseconds.
     """
 
     asker: str
@@ -106,12 +106,12 @@
 
 
 class RecalledAccount(msgspec.Struct, array_like=True, frozen=True):
-    """A router's account of a tenant.
+    """A router's copy of an account.
 
     Attributes:
-        balance: units left; below zero there is a debt.
-        covered_ms: for how long it has counted every grant, a window at most, in milliseconds.
-        uses: the grants of the last window that the balance contains.
+        balance: units left; negative if the account is overdrawn.
+        covered_ms: for how long every grant has been counted, at most one window, in milliseconds.
+        uses: the grants of the last window that the balance includes.
     """
 
     balance: int
@@ -120,13 +120,13 @@
 
 
 class QuotaMemory(msgspec.Struct, array_like=True, frozen=True, tag="memory"):
-    """Answers a recall.
+    """Responds to a recall request.
 
     Attributes:
-        sender: internal address of the router that answers.
-        remembered_ms: how far back it remembers its own grants, a window at most.
-        uses: its own grants.
-        account: its account, if that is current.
+        sender: internal address of the responding router.
+        remembered_ms: how far back its own grants are complete, at most one window.
+        uses: the grants that it obtained itself.
+        account: its copy of the account, if that is current.
     """
 
     tenant: str
--- a/src/martenrun/router/quotas/owners.py
+++ b/src/martenrun/router/quotas/owners.py
@@ -1,8 +1,8 @@
-"""Which routers own a tenant's account: by rendezvous hashing over those that are alive.
+"""Selects the routers that own an account by rendezvous hashing over the live routers.
 
-Two own each account, so that the second goes on where the first ends.  A router that is starting
-does not know of all others yet and would choose by itself: it asks a seed, which forwards the
-question.
+Each account has two owners, so that the second can take over when the first fails.  A router that
+is starting does not know all other routers yet and would select different owners.  It sends its
+requests to a seed instead, which forwards them.
 """
 
 import math
@@ -14,17 +14,17 @@
 from martenrun.router.quotas.messages import QuotaStage
 
 OWNERS = 2
-"""Routers that own each account."""
+"""Number of routers that own each account."""
 
 MOST_ASKED = 3
-"""Most routers that are asked one after the other."""
+"""Maximum number of routers that are asked one after the other."""
 
 REFRESH_INTERVAL_S = 0.1
-"""How often it is looked at who is alive, in seconds."""
+"""How often the set of live routers is refreshed, in seconds."""
 
 
 class Membership(Protocol):
-    """What is needed of the knowledge about the other routers."""
+    """The required view of the other routers."""
 
     @property
     def own(self) -> RouterRecord:
@@ -34,20 +34,20 @@
         """Return the records of the other routers that are alive."""
 
     def silent_since(self) -> list[float]:
-        """Return when each router that counts as dead was last heard of, in steady seconds."""
+        """Return when each router considered dead was last heard from, in monotonic seconds."""
 
     def is_settled(self) -> bool:
-        """Whether others have been heard for long enough to know most of them."""
+        """Whether this router has received gossip long enough to know most routers."""
 
 
 class AccountOwners:
-    """Chooses by what this router knows of the others.
+    """Selects the owners of accounts by this router's membership view.
 
     Args:
-        now: returns the steady time.
+        now: returns the monotonic time.
         members: the routers of the deployment.
-        is_starting: returns whether this router's view of the others may still be incomplete.
-        seeds: internal addresses of some routers, the same for all.
+        is_starting: returns whether this router's membership view may still be incomplete.
+        seeds: internal addresses of the seed routers, identical at all routers.
     """
 
     def __init__(
@@ -75,13 +75,13 @@
         return self._ranking(tenant)[:OWNERS]
 
     def previous_owners(self, tenant: str) -> list[str]:
-        """Return who owned a tenant's account before routers last came or went in this view."""
+        """Return the owners of a tenant's account before the last change of membership."""
         return ranked(tenant.encode(), self._previous)[:OWNERS]
 
     def is_substitute(self, tenant: str) -> bool:
-        """Whether this router, asked for a tenant's units, stands in for others that own them.
+        """Whether this router decides requests for an account that other routers own.
 
-        While all routers have just started, whoever is asked is as good as any.
+        While all routers are starting, any router that is asked counts as an owner.
         """
         if self._own in self.owners(tenant):
             return False
@@ -89,20 +89,19 @@
         return not self._is_starting() or QuotaStage.ESTABLISHED in others
 
     def notified(self, tenant: str) -> list[str]:
-        """Return who is told of what is granted: the owners.
+        """Return the routers that receive the uses of a tenant's account.
 
-        While one of the first three has just started, whoever takes the third for an owner in its
-        place must know as well.
+        These are the owners.  While one of the first three in the ranking has started recently, the
+        third is included, because routers that do not know the new one yet consider it an owner.
         """
         ranking = self._ranking(tenant)
         is_new = any(self._stages[address] == QuotaStage.JOINING for address in ranking)
         return ranking[: MOST_ASKED if is_new else OWNERS]
 
     def asked(self, tenant: str) -> list[str]:
-        """Return who is asked for a tenant's units, in that order.
+        """Return the routers to ask for a tenant's units, in order.
 
-        Of the two owners the one that has run for long comes first: it need not recover the
-        account.
+        The owner that has run longer comes first because it need not recover the account.
         """
         ranking = self._ranking(tenant)
         if self._seeds and self._is_starting():
@@ -113,10 +112,10 @@
         return owners + ranking[OWNERS:MOST_ASKED]
 
     def forwards_to(self, tenant: str) -> str | None:
-        """Return the router to which a question for an account owned elsewhere is forwarded.
+        """Return the router to which a request for an account owned elsewhere is forwarded.
 
-        A router that is starting forwards to one that knows what was granted before, as soon as it
-        has heard of one.
+        A router that is starting forwards to an established owner, which knows earlier grants, as
+        soon as it has learned of one.
         """
         owners = self.owners(tenant)
         if self._is_starting():
@@ -129,23 +128,23 @@
         return None if self._own in owners or not owners else owners[0]
 
     def participants(self) -> list[str]:
-        """Return the other living routers that answer for grants, those about to leave included."""
+        """Return the other live routers that take part in recalls, including leaving ones."""
         self._refresh()
         return self._participants
 
     def departed_at(self) -> tuple[float, ...]:
-        """Return when each router that counts as dead was last heard of, in steady seconds."""
+        """Return when each router considered dead was last heard from, in monotonic seconds."""
         return tuple(self._members.silent_since())
 
     def knows_all(self) -> bool:
-        """Whether this router's view of the others is complete, as far as it can tell."""
+        """Whether this router's membership view is complete as far as it can tell."""
         return self._members.is_settled() and not self._is_starting()
 
     def seen_share(self) -> float:
-        """Return the part of all routers that this one sees.
+        """Return the fraction of all routers that this one sees.
 
-        Those that it has lost sight of may be cut off and grant theirs, or have ended: nothing
-        tells the two apart.
+        Routers out of sight may have stopped, or may be cut off and grant their own shares; the two
+        cases cannot be distinguished.
         """
         self._refresh()
         return self._seen_share
@@ -158,7 +157,7 @@
         return found
 
     def _refresh(self) -> None:
-        """Rank anew if routers have come or gone."""
+        """Recompute the ranking if the membership has changed."""
         now = self._now()
         if now - self._refreshed_at < REFRESH_INTERVAL_S:
             return
--- a/src/martenrun/router/quotas/page.py
+++ b/src/martenrun/router/quotas/page.py
@@ -1,4 +1,4 @@
-"""What operators see of tenants' accounts at one router (internal address)."""
+"""Lists the rate-limited accounts of one router to operators, at the internal address."""
 
 import attrs
 import msgspec
@@ -8,7 +8,7 @@
 from martenrun.router.quotas.gate import QuotaGate
 
 QUOTAS_PATH = b"/quotas"
-"""GET lists the accounts that this router keeps."""
+"""GET lists the accounts held by this router."""
 
 JSON_TYPE = [(b"Content-Type", b"application/json")]
 
@@ -16,6 +16,6 @@
 
 
 def serve_quotas(exchange: Exchange, gate: QuotaGate) -> None:
-    """List the accounts kept here, tenants with least left first."""
+    """List the accounts held by this router, lowest balance first."""
     accounts = [attrs.asdict(view) for view in gate.views()]
     exchange.respond(STATUS_OK, JSON_TYPE, _ENCODE({"accounts": accounts}))
--- a/src/martenrun/router/quotas/recovery.py
+++ b/src/martenrun/router/quotas/recovery.py
@@ -1,7 +1,10 @@
-"""Brings a tenant's account back from what other routers remember.  Pure, with the times handed in.
+"""Recovers an account from the grants that other routers remember.
 
-A grant is known to its asker and to the owners of the account.  Whoever comes to own an account
-asks all routers, and counts what they remember; only what nobody can remember any more is presumed.
+A grant is known to its requester and to the owners of the account.  A router that becomes an owner
+asks all routers and counts the grants that they remember.  An opening balance is assumed only for
+the period that no router remembers any more.
+
+Callers pass in the time; nothing here reads a clock.
 """
 
 import math
@@ -24,7 +27,7 @@
 
 @attrs.frozen
 class HeardAccount:
-    """Another router's account; ``covered_since`` is steady time, in seconds."""
+    """Another router's copy of an account; ``covered_since`` is monotonic time in seconds."""
 
     balance: float
     covered_since: float
@@ -33,7 +36,7 @@
 
 @attrs.frozen
 class Opening:
-    """An account that was brought back, and how."""
+    """A recovered account and how its opening balance was determined."""
 
     account: Account
     beginning: InitialBalance
@@ -41,12 +44,12 @@
 
 @attrs.frozen
 class Situation:
-    """What the router that recovers an account knows of the others.
+    """The recovering router's view of the other routers.
 
     Attributes:
-        departed_at: when each router that is silent now was last heard of, in steady seconds.
-        knows_all: whether it has heard of the others for long enough to know most of them.
-        is_substitute: whether the owners of the account may go on granting elsewhere.
+        departure_times: when each silent router was last heard from, in monotonic seconds.
+        has_complete_view: whether this router has received gossip long enough to know most routers.
+        is_substitute: whether the owners of the account may still be granting elsewhere.
     """
 
     departed_at: tuple[float, ...] = ()
@@ -55,11 +58,11 @@
 
 
 class AccountRecovery:
-    """Collects answers to one recall.
+    """Collects the responses to one recall request.
 
     Args:
-        limit: the tenant's limit, as far as it is known.
-        asked: internal addresses of the routers that are asked.
+        limit: the account's limit as far as known.
+        routers: internal addresses of the routers that are asked.
     """
 
     def __init__(self, limit: VersionedLimit, asked: Iterable[str], bounds: QuotaBounds) -> None:
@@ -72,25 +75,25 @@
 
     @property
     def is_answered(self) -> bool:
-        """Whether every router that was asked has answered."""
+        """Whether every router has responded."""
         return not self._awaited
 
     @property
     def unanswered(self) -> int:
-        """How many routers that were asked have not answered."""
+        """The number of routers that have not responded."""
         return len(self._awaited)
 
     def learn_limit(self, limit: VersionedLimit) -> None:
-        """Take in a limit, if it is of a later configuration."""
+        """Apply a limit if it is of a newer configuration."""
         if limit.configuration > self.limit.configuration:
             self.limit = limit
 
     def add_use(self, use: PastUse) -> None:
-        """Take in a use that is told meanwhile."""
+        """Add a use that was reported during the recovery."""
         self._uses[use.key] = use
 
     def add(self, memory: QuotaMemory, now: float) -> None:
-        """Take in what one router remembers; what it says of its own grants holds."""
+        """Add a router's response; its report of its own grants takes precedence."""
         self._awaited.discard(memory.sender)
         remembered_s = memory.remembered_ms / MS_PER_S
         is_whole = remembered_s >= self._bounds.window_s
@@ -110,7 +113,7 @@
             self._uses.setdefault(use.key, use)
 
     def open(self, part: Part, situation: Situation, now: float) -> Opening:
-        """Return the account as far as it is known, its balance presumed only beyond that."""
+        """Return the account; its balance is assumed only where grants are unknown."""
         best = min(
             self._accounts, key=lambda heard: (heard.covered_since, heard.balance), default=None
         )
@@ -128,9 +131,9 @@
         return self._replay(beginning, max(forgotten_until), part)
 
     def _forgotten_until(self, situation: Situation, now: float) -> list[float]:
-        """Return until when each router may have got grants that nobody remembers.
+        """Return, for each router whose grants may be lost, the time until which they may be.
 
-        None while fewer are gone than know of each grant.
+        Empty while fewer routers are gone than know of each grant.
         """
         window_began_at = now - self._bounds.window_s
         times = [now] * len(self._awaited)
@@ -150,7 +153,7 @@
         return Opening(account, InitialBalance.TRANSFERRED)
 
     def _replay(self, beginning: InitialBalance, since: float, part: Part) -> Opening:
-        """Return an account that began at some time, with the uses known since then."""
+        """Return an account opened at a past time, with the uses known since then applied."""
         account = Account(self.limit, self._bounds, beginning, part, since)
         for use in sorted(self._uses.values(), key=lambda use: use.at):
             if use.at >= since:
@@ -168,7 +171,7 @@
 
 
 def recalled_uses(uses: Iterable[PastUse], now: float) -> list[RecalledUse]:
-    """Return uses as they are told, with their ages."""
+    """Return uses with their ages, as sent to other routers."""
     return [
         RecalledUse(use.key[0], use.key[1], use.units, round((now - use.at) * MS_PER_S))
         for use in uses
--- a/src/martenrun/router/quotas/service.py
+++ b/src/martenrun/router/quotas/service.py
@@ -1,4 +1,4 @@
-"""Answers other routers for the accounts that this one owns, and recovers those it comes to own."""
+"""Serves the accounts that this router owns, and recovers those that it becomes an owner of."""
 
 from collections.abc import Callable, Sequence
 from typing import Protocol
@@ -34,36 +34,37 @@
 from martenrun.router.settings import RouterSettings
 
 RECALL_TIMEOUT_S = 0.03
-"""How long answers to a recall are waited for, in seconds: less than an asker waits."""
+"""How long responses to a recall are awaited, in seconds; shorter than the requester's timeout."""
 
 REPLICATED_FOR_S = 4.0
-"""For how long uses are replicated to a router that recalled an account or forwards uses of it.
+"""How long uses are replicated to a router that recalled an account or forwarded uses of it.
 
-It owns the account in some router's view; until all views agree, this router's differs.
+In seconds.  That router is an owner in some router's view, which may differ from this router's view
+until all views agree.
 """
 
 UNCONFIRMED_PACE = 0.5
-"""Part of the rate that is granted while another owner does not acknowledge."""
+"""Factor of the refill rate while another owner does not acknowledge uses."""
 
 SUBSTITUTE_PACE = 0.25
-"""Part of the rate that a router grants which is asked since no owner answers."""
+"""Factor of the refill rate of a router that is asked because no owner responds."""
 
 Respond = Callable[[Verdict], None]
 
 
 class QuotaPeers(Protocol):
-    """What is needed of the other routers."""
+    """The required access to the other routers."""
 
     def tell(self, addresses: list[str], message: QuotaMessage) -> None:
         """Send a message to some routers."""
 
     def budget_count(self) -> int:
-        """Return among how many routers something common is to be shared."""
+        """Return the number of routers that share a common budget."""
 
 
 @attrs.define(eq=False)
 class PendingRecovery:
-    """An account that is being recovered, and the questions that wait for it."""
+    """An account that is being recovered, and the requests that wait for it."""
 
     recovery: AccountRecovery
     waiting: list[tuple[QuotaAsk, Respond]] = attrs.field(factory=list)
@@ -71,12 +72,12 @@
 
 
 class AccountService:
-    """The accounts of this router.
+    """The accounts owned by this router.
 
     Args:
-        owners: who owns an account.
-        own_memory: returns what this router remembers of its own grants of a tenant, and for how
-            long it has remembered, in seconds.
+        owners: selects the owners of an account.
+        own_history: returns this router's own grants of a tenant, and for how long they have been
+            recorded, in seconds.
     """
 
     def __init__(
@@ -103,11 +104,11 @@
         return len(self._ledger)
 
     def views(self) -> list[AccountView]:
-        """Return the accounts kept here."""
+        """Return the accounts held by this router."""
         return self._ledger.views(self._loop.now())
 
     def keep_house(self) -> None:
-        """Drop what is not needed any more, and note which accounts miss grants."""
+        """Drop expired state and mark accounts whose grants are not replicated here as stale."""
         now = self._loop.now()
         self._monitor.forget_old(now, KEPT_FOR_S)
         self._ledger.forget_idle(now)
@@ -115,13 +116,13 @@
         self._forget_replicas(now)
 
     def reset(self) -> None:
-        """Drop all accounts: others have granted without telling this router."""
+        """Drop all accounts, because other owners granted units without reporting them here."""
         self._ledger.clear()
 
-    # Questions
+    # Requests
 
     def serve(self, ask: QuotaAsk) -> None:
-        """Answer another router's question, or forward it to an owner."""
+        """Respond to another router's request, or forward it to an owner."""
         owner = None if ask.is_final else self._owners.forwards_to(ask.tenant)
         if owner is not None:
             self._peers.tell([owner], msgspec.structs.replace(ask, is_final=True))
@@ -136,7 +137,7 @@
         self.decide(ask, respond)
 
     def decide(self, ask: QuotaAsk, respond: Respond) -> None:
-        """Decide by this router's account, once that is current."""
+        """Decide a request once this router's account is current."""
         if self._ledger.is_current(ask.tenant):
             self._decide_now(ask, respond)
             return
@@ -162,7 +163,7 @@
     # Uses
 
     def note_use(self, use: QuotaUse) -> None:
-        """Take in what a grant is worth, from its asker or from another owner."""
+        """Apply the units used by a grant, reported by its requester or by another owner."""
         now = self._loop.now()
         pending = self._pending.get(use.tenant)
         if self._ledger.has(use.tenant):
@@ -182,11 +183,11 @@
             self._peers.tell([use.forwarder], QuotaAck(self._own))
 
     def note_acknowledged(self, ack: QuotaAck) -> None:
-        """Another owner has acknowledged uses."""
+        """Record that another owner acknowledged uses."""
         self._monitor.note_acknowledged(ack.replica, self._loop.now())
 
     def _replicate(self, use: QuotaUse) -> None:
-        """Send a use to the others that own the account, in this router's view or their own."""
+        """Send a use to the other routers that own the account in any router's view."""
         now = self._loop.now()
         replicas = {*self._owners.notified(use.tenant), *self._replicas.get(use.tenant, ())}
         replicas.discard(self._own)
@@ -201,7 +202,7 @@
         self._replicas.setdefault(tenant, {})[address] = now + REPLICATED_FOR_S
 
     def _forget_replicas(self, now: float) -> None:
-        """Replicate to nobody that has not shown for a while that it owns the account."""
+        """Stop replicating to routers that have not recently acted as owners of an account."""
         for tenant, replicas in list(self._replicas.items()):
             kept = {address: until for address, until in replicas.items() if until > now}
             if kept:
@@ -212,14 +213,14 @@
     # Recovery
 
     def answer_recall(self, recall: QuotaRecall) -> None:
-        """Tell another router what this one remembers, and replicate to it from now on."""
+        """Respond with this router's state of an account, and replicate uses from now on."""
         now = self._loop.now()
         if self._ledger.is_current(recall.tenant):
             self._add_replica(recall.tenant, recall.asker, now)
         self._peers.tell([recall.asker], self._memory(recall.tenant, now))
 
     def take_memory(self, memory: QuotaMemory) -> None:
-        """Take in an answer to a recall; one that comes late still counts."""
+        """Handle a response to a recall; late responses are counted as well."""
         now = self._loop.now()
         pending = self._pending.get(memory.tenant)
         if pending is not None:
@@ -256,7 +257,7 @@
         return pending
 
     def _open(self, tenant: str) -> None:
-        """Open an account by what was recalled, and decide the questions that waited for it."""
+        """Open the recovered account and decide the requests that waited for it."""
         pending = self._pending.pop(tenant, None)
         if pending is None:
             return
@@ -289,10 +290,10 @@
         return self._settings().bounds.for_account(account)
 
     def _part(self, tenant: str) -> Part:
-        """Return what this router may grant of a limit.
+        """Return the share of a limit that this router may grant.
 
-        Another owner that does not acknowledge may be cut off with half of the routers, and grants
-        as well, until it is known how many routers are out of sight.
+        An owner that does not acknowledge may be cut off together with half of the routers, and may
+        keep granting.  The rate is reduced until the number of routers out of sight is known.
         """
         now = self._loop.now()
         if self._owners.is_substitute(tenant):
--- a/src/martenrun/router/request_quota.py
+++ b/src/martenrun/router/request_quota.py
@@ -1,4 +1,4 @@
-"""What one request may use of its tenant's rate: a grant for each run of it."""
+"""Manages the grants of one request: each run at a runner needs one."""
 
 from collections.abc import Callable
 
@@ -7,7 +7,7 @@
 
 
 class RequestQuota:
-    """The grants of one request; a tenant without a limit needs none."""
+    """The grants of one request; none are needed for a tenant without a limit."""
 
     def __init__(self, gate: QuotaGate | None, admitted: Admitted) -> None:
         self._gate = gate
@@ -18,15 +18,15 @@
         self._grant: Grant | None = None
         self._is_used = False
         self.last: Grant | None = None
-        """What was decided last, for the log."""
+        """The most recent decision, for logging."""
 
     @property
     def needs_grant(self) -> bool:
-        """Whether the request may not be sent yet."""
+        """Whether a grant must be obtained before the request is sent."""
         return self._gate is not None and self._limit is not None and self._grant is None
 
     def obtain(self, on_decided: Callable[[Grant], None]) -> None:
-        """Ask for one run more; only where one is needed."""
+        """Request a grant for one run; call only if :attr:`needs_grant`."""
         assert self._gate is not None and self._tenant is not None and self._limit is not None
 
         def decided(grant: Grant) -> None:
@@ -41,17 +41,17 @@
             self._asked = asked
 
     def note_sent(self) -> None:
-        """The request has gone to a runner."""
+        """Record that the request was sent to a runner."""
         self._is_used = True
 
     def note_failed(self, may_have_run: bool) -> None:
-        """The try at a runner has failed; what may have run has used its grant."""
+        """Record a failed attempt; if the runner may have run it, its grant is used up."""
         self._is_used = False
         if may_have_run:
             self._grant = None
 
     def close(self) -> None:
-        """The request is over: a grant that was not used is given back."""
+        """Finish the request and return its grant if that was not used."""
         unused = self._asked or (None if self._is_used else self._grant)
         self._asked = self._grant = None
         if unused is not None and self._gate is not None:
