--- a/src/martenrun/router/blame_messages.py
+++ b/src/martenrun/router/blame_messages.py
@@ -1,15 +1,15 @@
-"""What routers tell each other, and keep in the store, of requests that end runners."""
+"""Crash records of requests, as exchanged between routers and written to the store."""
 
 import msgspec
 
 
 class BlameRecord(msgspec.Struct, array_like=True, frozen=True):
-    """What is known of one request, see :mod:`martenrun.router.fingerprint`.
+    """The crash record of one request.
 
     Attributes:
-        fingerprint: which request.
-        ended: starts of runners that ended under it, and how long ago, in milliseconds.
-        whole_ms: how long ago it last ran whole, in milliseconds, or None if it never did.
+        fingerprint: identifies the request, see :mod:`martenrun.router.fingerprint`.
+        crashes: runner instances that crashed while serving it, and how long ago, in milliseconds.
+        completed_ms: time since it last completed, in milliseconds, or None if it never did.
     """
 
     fingerprint: bytes
@@ -18,6 +18,6 @@
 
 
 class BlameNews(msgspec.Struct, array_like=True, tag="blame", frozen=True):
-    """Some of what a router knows of requests that end runners."""
+    """Some of the crash records of a router."""
 
     records: list[BlameRecord]
--- a/src/martenrun/router/blame_page.py
+++ b/src/martenrun/router/blame_page.py
@@ -1,4 +1,4 @@
-"""What operators see of requests that end runners, and how one is cleared (internal address)."""
+"""Lists crash-causing requests to operators and clears them, at the internal address."""
 
 import msgspec
 
@@ -9,7 +9,7 @@
 from martenrun.router.suspects import Suspects
 
 BLAME_PATH = b"/blame"
-"""GET lists what is blamed; POST with a :class:`ClearQuestion` clears one request."""
+"""GET lists the crash records; POST with a :class:`ClearRequest` clears one request."""
 
 JSON_TYPE = [(b"Content-Type", b"application/json")]
 
@@ -18,13 +18,13 @@
 
 
 class ClearQuestion(msgspec.Struct):
-    """Says that a request is harmless; ``fingerprint`` in hexadecimal."""
+    """Clears the request with the given hexadecimal fingerprint."""
 
     fingerprint: str
 
 
 class BlamePage(msgspec.Struct):
-    """All that a router knows."""
+    """The crash records of one router."""
 
     requests: list[BlamedRequest]
 
@@ -34,7 +34,7 @@
 
 
 def serve_blame(exchange: Exchange, suspects: Suspects) -> None:
-    """List what is blamed, or clear a request at all routers."""
+    """List the crash records, or clear one request at all routers."""
     if exchange.request.method == b"GET":
         exchange.respond(STATUS_OK, JSON_TYPE, _ENCODE(BlamePage(suspects.list_blamed())))
         return
--- a/src/martenrun/router/blame_store.py
+++ b/src/martenrun/router/blame_store.py
@@ -1,7 +1,7 @@
-"""Writes what is known of requests that end runners into the platform's store.
+"""Writes the crash records of requests to the platform's store.
 
-Only who reads the store writes, and only what it lacks: a few routers see each other's writes at
-once and have nothing to add then.  Nothing waits for a write.
+Only store readers write, and only records that the store lacks.  There are few of them and each
+sees the others' writes at once, so duplicate writes are rare.  No request waits for a write.
 """
 
 from collections.abc import Callable
@@ -18,30 +18,31 @@
 OBJECT_NAME = "main"
 
 CALL_TIMEOUT_S = 0.7
-"""How long a write waits for its answer, in seconds."""
+"""Timeout of a write, in seconds."""
 
 PAUSE_S = 0.3
-"""Time between two writes, in seconds: meanwhile the watch tells what the first has changed."""
+"""Delay after a successful write, in seconds, in which the watch delivers the change."""
 
 FAILED_PAUSE_S = 1.0
-"""The same after a write without a good answer, in seconds."""
+"""Delay after a failed write, in seconds."""
 
 RENEWED_S = 600.0
-"""How often ages are written anew, in seconds: time after the last write is lost with all routers.
+"""How often the ages of stored records are refreshed, in seconds.
 
-Beliefs then last at most so much longer for each loss of all.
+If all routers stop, the time since the last write is missing from the ages.  Blocks last longer by
+at most this interval each time that happens.
 """
 
 WRITTEN = (200, 201, 409)
-"""Answers after which the object is known: written, or written by another in between."""
+"""Statuses after which the object is known to exist; 409 means that another router wrote it."""
 
 
 class BlameStore:
-    """Keeps the stored object as complete as what this router knows.
+    """Keeps the stored object as complete as this router's crash records.
 
     Args:
-        copy: this router's copy of the stored objects.
-        reads_store: whether this router reads the store for others.
+        replica: this router's replica of the stored objects.
+        reads_store: returns whether this router is a store reader.
     """
 
     def __init__(
@@ -64,7 +65,7 @@
         self._is_calling = False
 
     def check(self) -> None:
-        """Write if there is something to be written and no write is under way."""
+        """Write if records are missing from the store and no write is in progress."""
         now = self._loop.now()
         if self._is_calling or now < self._not_before or not self._reads_store():
             return
--- a/src/martenrun/router/blame_table.py
+++ b/src/martenrun/router/blame_table.py
@@ -1,13 +1,15 @@
-"""Which requests end the runners that run them: evidence, merged as sets, and what follows from it.
+"""Attributes runner crashes to requests and decides which requests are blocked.
 
-A request is blamed for a *start* of a runner that ended while it ran there.  Every run beside it
-ends with it, so that one end says little; but whoever has run whole since is not to blame.  What
-routers tell each other are starts, never counts: what two routers saw of the same end is one.
+All requests that a runner serves when it crashes are recorded with that runner instance.  A single
+crash is weak evidence, and a request that has completed since is not the cause.  Routers exchange
+the crashed instances rather than counts, so that a crash seen by two routers counts once.
 
-A request under which DEADLY_AFTER starts have ended is held back; more are asked for where runners
-end without it as well, so that chance would do.  That belief ends by itself, the later the more
-starts have ended; then a single further end renews it, so that all routers together send such a
-request to one or two runners more each time.  Pure, apart from the times handed in.
+A request is blocked after CRASH_THRESHOLD instances have crashed while serving it.  More are
+required where runners also crash for other reasons, so that coincidence could explain them.  The
+block expires, later with each crash.  One further crash then renews it, so that all routers
+together lose one or two runners each time.
+
+Callers pass in the time; nothing here reads a clock.
 """
 
 import collections
@@ -20,91 +22,92 @@
 from martenrun.router.fingerprint import CALLER_BYTES, OUTLINE_BYTES
 
 DEADLY_AFTER = 3
-"""Starts that must have ended under a request, at least, until it is held back."""
+"""Minimum number of crashed instances before a request is blocked."""
 
 MOST_ASKED_FOR = 5
-"""The same at most, however often runners end by chance: users allow few more than three."""
+"""Upper bound of the threshold at any crash rate; users accept few more than three crashes."""
 
 DEADLY_AFTER_SUCCESS = 6
-"""The same, at least, of a request that is known to have run whole: a deadly one never does."""
+"""Minimum for a request that has completed before, which a crash-causing request never does."""
 
 CHANCE = 1e-6
-"""How likely chance alone may end so many starts in a row under a request.
+"""Accepted probability that a run of crashes is a coincidence.
 
-With three in any case 70 of 200,000 requests are held back where one of eight runners ends each
-second; with this none of a million (docs/design/deadly-requests.md).
+With a fixed threshold of three, 70 of 200,000 requests are blocked wrongly if one of eight runners
+crashes each second; with this bound none of a million is (docs/design/deadly-requests.md).
 """
 
 CHANCE_WINDOW_S = 30.0
-"""For how long an end counts for how often runners end by chance, in seconds."""
+"""Window over which the rate of unrelated crashes is computed, in seconds."""
 
 UNKNOWN_RUNNERS = 8
-"""Runners reckoned with until a list of them is known: a router that starts must hold back too."""
+"""Runners assumed before the list is known, so that a starting router can block requests too."""
 
 MOST_ENDS = 4_096
-"""Ends remembered for that, at most: an hour of one a second, in 300 KB."""
+"""Maximum number of crashes kept for the rate: one per second for an hour takes 300 KB."""
 
 RUN_S = 0.5
-"""How long a run is reckoned to take, in seconds: a short stream takes 0.1, a long one 1."""
+"""Assumed duration of a run, in seconds; a short stream takes 0.1, a long one 1."""
 
 FIRST_HELD_S = 3_600.0
 LONGEST_HELD_S = 7 * 86_400.0
-"""How long a request is held back after the last start ended under it; twice as long each time."""
+"""Initial and maximum block duration after the last crash, in seconds; each crash doubles it."""
 
 HELD_AFTER_SUCCESS_S = 10.0
-"""The same, at first, for a request that is known to have run whole; twice as long each time.
+"""Initial block duration for a request that has completed before, in seconds; doubles as well.
 
-Where all runners end in turn everything that is asked for often ends with them, and must be served
-again when they stay; only an hour without a success makes it as bad as one that never had any.
+When all runners crash in turn, frequent requests are affected by many of the crashes and must be
+served again once the runners are stable.  The duration is capped at INITIAL_BLOCK_S, the initial
+one of a request that has never completed.
 """
 
 SUSPECTED_S = 86_400.0
-"""How long fewer ends, or that a request ran whole, are remembered, in seconds."""
+"""How long a record is kept after its last update or the end of its block, in seconds."""
 
 MOST_BLAMED = 512
-"""Requests remembered, of 100 bytes or so each; those blamed least and longest ago give way."""
+"""Maximum number of records, about 100 bytes each; those with the least evidence are evicted."""
 
 MOST_OF_ONE_CALLER = MOST_BLAMED // 4
-"""The same for one caller, so that its many deadly requests push out nobody else's."""
+"""Maximum per caller, so that one caller's requests cannot evict those of all others."""
 
 KEPT_LONGER_S = 600.0
-"""How much longer a request is kept for each end, where memory is short, in seconds."""
+"""How much longer a record is kept per crash when records are evicted, in seconds."""
 
 MOST_STARTS = 12
-"""Starts remembered of one request: with so many it is held back for the longest time."""
+"""Maximum number of crashes per record; with this many the block duration is at its maximum."""
 
 MS_PER_S = 1000.0
 
 
 @attrs.define
 class Blame:
-    """What is known of one request: the starts that ended under it, and when it last ran whole."""
+    """The runner instances that crashed while serving one request, and its last completion."""
 
     ended: dict[str, float] = attrs.field(factory=dict)
     whole_at: float = -math.inf
 
     @property
     def last_at(self) -> float:
-        """When something was last learned of it."""
+        """The time of the last crash or completion."""
         return max([self.whole_at, *self.ended.values()])
 
     @property
     def count(self) -> int:
-        """Starts that ended under it and that no success since has cleared it of."""
+        """The number of instances that crashed while serving it since it last completed."""
         return sum(at > self.whole_at for at in self.ended.values())
 
     @property
     def has_run_whole(self) -> bool:
-        """Whether it is known to have run whole."""
+        """Whether the request is known to have completed."""
         return self.whole_at != -math.inf
 
     @property
     def least_asked_for(self) -> int:
-        """How many of them make it deadly where runners never end by chance."""
+        """The number of crashes required if no unrelated crashes occur."""
         return DEADLY_AFTER_SUCCESS if self.has_run_whole else DEADLY_AFTER
 
     def held_until(self) -> float:
-        """Return until when it is held back, if the starts that ended under it are enough."""
+        """Return when the block ends, provided that there are enough crashes for one."""
         last_at = max(self.ended.values())
         doubled = 2 ** max(0, self.count - self.least_asked_for)
         if self.has_run_whole:
@@ -112,23 +115,24 @@
         return last_at + min(LONGEST_HELD_S, FIRST_HELD_S * doubled)
 
     def is_told(self, record: BlameRecord | None) -> bool:
-        """Whether a record tells all that is known."""
+        """Whether a record contains everything that is known here."""
         if record is None or (record.whole_ms is None and self.has_run_whole):
             return False
         return self.ended.keys() <= {start for start, _ in record.ended}
 
     def forgotten_at(self) -> float:
-        """Return when nothing of it matters any more."""
+        """Return when the record can be dropped."""
         held_until = self.held_until() if self.count >= self.least_asked_for else -math.inf
         return max(self.last_at, held_until) + SUSPECTED_S
 
 
 class BlamedRequest(msgspec.Struct):
-    """What operators are told of one request.
+    """A crash record as shown to operators.
 
     Attributes:
-        starts: starts that ended under it since it last ran whole.
-        held_for_s: for how long it is still held back, in seconds; 0 if it is not.
+        starts: runner instances that crashed while serving it since it last completed.
+        held_for_s: remaining block duration in seconds; 0 if it is not blocked.
+        has_run_whole: whether it is known to have completed.
     """
 
     fingerprint: str
@@ -138,10 +142,10 @@
 
 
 class BlameTable:
-    """What is known of all blamed requests, by fingerprint.
+    """The crash records of all requests, by fingerprint.
 
     Attributes:
-        runners: how many runners are listed; 0 while that is not known.
+        runners: the number of listed runners; 0 while it is not known.
     """
 
     def __init__(self) -> None:
@@ -154,20 +158,20 @@
         return len(self._blamed)
 
     def knows_outline(self, outline: bytes) -> bool:
-        """Whether a request of that outline may be known."""
+        """Whether there may be a record of a request whose fingerprint has this prefix."""
         return outline in self._outlines
 
     def knows(self, fingerprint: bytes) -> bool:
-        """Whether anything is known of a request."""
+        """Whether there is a record of a request."""
         return fingerprint in self._blamed
 
     def starts(self, fingerprint: bytes) -> int:
-        """Return how many starts ended under a request since it last ran whole."""
+        """Return how many instances crashed while serving a request since it last completed."""
         blame = self._blamed.get(fingerprint)
         return 0 if blame is None else blame.count
 
     def held_for_s(self, fingerprint: bytes, now: float) -> float:
-        """Return for how long a request is still held back, in seconds; 0 if it is not."""
+        """Return the remaining block duration of a request in seconds; 0 if it is not blocked."""
         blame = self._blamed.get(fingerprint)
         if blame is None or blame.count < blame.least_asked_for:
             return 0.0
@@ -175,11 +179,11 @@
         return left_s if left_s and blame.count >= self._asked_for(blame) else 0.0
 
     def held(self, now: float) -> list[bytes]:
-        """Return the requests that are held back."""
+        """Return the fingerprints of the blocked requests."""
         return [key for key in self._blamed if self.held_for_s(key, now) > 0]
 
     def note_ended(self, fingerprint: bytes, start: str, at: float) -> bool:
-        """Take in that a start ended under a request; return whether that is news."""
+        """Record that an instance crashed while serving a request; return whether that is new."""
         blame = self._blamed.get(fingerprint)
         if blame is None:
             blame = self._add(fingerprint)
@@ -193,9 +197,9 @@
         return known_at is None
 
     def note_whole(self, fingerprint: bytes, at: float) -> bool:
-        """Take in that a request of which something is known ran whole; return whether it helps.
+        """Record that a request completed; return whether that changes its record materially.
 
-        One that is clear is not told of again and again.
+        Repeated completions of a cleared request are not broadcast again.
         """
         blame = self._blamed.get(fingerprint)
         if blame is None:
@@ -205,7 +209,7 @@
         return was_blamed
 
     def listed(self, now: float) -> list[BlamedRequest]:
-        """Return what is known of all requests, those held back first."""
+        """Return all records as shown to operators, blocked requests first."""
         known = [
             BlamedRequest(
                 key.hex(), blame.count, round(self.held_for_s(key, now), 1), blame.has_run_whole
@@ -215,7 +219,7 @@
         return sorted(known, key=lambda item: (-item.held_for_s, -item.starts))
 
     def records(self, now: float, only: set[bytes] | None = None) -> list[BlameRecord]:
-        """Return what is known of some requests, or of all, with ages in milliseconds."""
+        """Return all records, or those of some requests, with ages in milliseconds."""
         return [
             BlameRecord(
                 key,
@@ -227,7 +231,7 @@
         ]
 
     def merge(self, records: list[BlameRecord], now: float) -> set[bytes]:
-        """Take in what another router, or the store, tells; return what is news."""
+        """Merge records from another router or the store; return the changed fingerprints."""
         news = set()
         for record in records:
             if len(record.fingerprint) <= OUTLINE_BYTES:
@@ -242,12 +246,12 @@
         return news
 
     def lacking(self, records: list[BlameRecord]) -> set[bytes]:
-        """Return the requests of which the records do not tell all that is known here."""
+        """Return the requests whose records here contain more than the given records."""
         told = {record.fingerprint: record for record in records}
         return {key for key, blame in self._blamed.items() if not blame.is_told(told.get(key))}
 
     def forget(self, now: float) -> None:
-        """Drop what does not matter any more."""
+        """Drop expired records."""
         if len(self._ends) > MOST_ENDS:
             newest = sorted(self._ends.items(), key=lambda item: item[1])[-MOST_ENDS // 2 :]
             self._ends = dict(newest)
@@ -255,9 +259,10 @@
             self._drop(key)
 
     def _asked_for(self, blame: Blame) -> int:
-        """Return under how many starts in a row nobody comes by chance, as runners ended then.
+        """Return the number of crashes in a row that coincidence does not explain.
 
-        What ends after the last of them changes nothing: a request is not let go for it.
+        Only crashes up to the request's last one are considered, so that later unrelated crashes do
+        not unblock it.
         """
         chance = (
             RUN_S * self._chance_ends(blame) / CHANCE_WINDOW_S / (self.runners or UNKNOWN_RUNNERS)
@@ -269,9 +274,10 @@
         return asked_for if blame.has_run_whole else min(MOST_ASKED_FOR, asked_for)
 
     def _chance_ends(self, blame: Blame) -> int:
-        """Return how many starts ended before a request's last one under nothing that is deadly.
+        """Count crashes shortly before a request's last one that no crash-causing request explains.
 
-        What has ended three starts itself explains them: beside it others are met by its ends.
+        A request with CRASH_THRESHOLD crashes explains them: other requests on those instances only
+        shared a runner with it.
         """
         last_at = max(blame.ended.values())
         explained = set() if blame.has_run_whole else set(blame.ended)
@@ -296,7 +302,7 @@
             del self._outlines[outline]
 
     def _make_room(self) -> None:
-        """Let those blamed least and longest ago give way: first of a caller that has too many."""
+        """Evict the record with the least evidence, first of a caller that has too many."""
         callers = collections.Counter(key[:CALLER_BYTES] for key in self._blamed)
         caller, count = callers.most_common(1)[0]
         if count > MOST_OF_ONE_CALLER:
--- a/src/martenrun/router/crash_watch.py
+++ b/src/martenrun/router/crash_watch.py
@@ -1,14 +1,18 @@
-"""Finds out whether a runner has ended when the runs at it break.
+"""Determines whether a runner crashed when the connections of its requests break.
 
-A connection that ends proves nothing: it may have been reset, cut, or closed by a runner that goes
-on.  So a router whose runs break opens a connection to the runner's address.  Where a process has
-ended the machine refuses it at once, and it is refused for seconds, until the next start; whoever
-accepts it and keeps it, twice, lives: something in between may be slow to notice the end.  One that
-is accepted and closed at once, by something in between, by a process that is just ending or by a
-runner that has too many, says nothing, and neither does a refusal while a kept connection is still
-open: the probe is repeated a few times.  An entry of a later start proves the end as well.
+A broken connection is no proof: it may have been reset, cut, or closed by a runner that keeps
+running.  The router therefore probes the runner's address with a new connection:
 
-A runner that is leaving ends by a plan: what it breaks off then is no sign of a crash.
+- Refused: the process has exited.  The machine refuses connections at once, and for seconds, until
+  the next instance listens.
+- Accepted and kept open, twice: the runner is alive.  One acceptance is not enough because a proxy
+  in between may be slow to notice the exit.
+- Anything else is inconclusive, and the probe is repeated a few times.  A connection that is closed
+  at once may come from a proxy, from a process that is exiting, or from a runner with too many
+  connections.  A refusal is inconclusive while a kept-alive connection is still open.
+
+A listed entry of a later instance also proves the exit.  Disconnects by a draining runner are
+expected and are not counted as a crash.
 """
 
 import errno
@@ -23,26 +27,26 @@
 from martenrun.router.runner_state import RunnerState
 
 ANSWER_S = 0.4
-"""How long a connection may take to be refused or to come up, in seconds."""
+"""Timeout of a connection attempt, in seconds."""
 
 KEPT_S = 0.03
-"""How long an accepted connection must stay open to be a sign of life, in seconds."""
+"""How long an accepted connection must stay open to show that the runner is alive, in seconds."""
 
 CONFIRMED_S = 0.25
-"""Pause before an accepted probe is repeated, in seconds."""
+"""Delay before an accepted probe is repeated, in seconds."""
 
 PAUSES_S = (0.05, 0.1, 0.2, 0.4, 0.8)
-"""Pauses before an inconclusive probe is repeated, in seconds."""
+"""Delays before an inconclusive probe is repeated, in seconds."""
 
 REMEMBERED_S = 8.0
-"""How long runs that broke wait for a proof that their runner ended, in seconds.
+"""How long disconnects are kept while it is unknown whether the runner crashed, in seconds.
 
-The entry of a start that ended is replaced within five seconds or so of its end.
+The entry of a crashed instance is replaced about five seconds after the crash at the latest.
 """
 
 
 class Case:
-    """Runs that broke at one start of a runner, and whether it has ended."""
+    """The requests whose connections to a runner instance broke, and whether it crashed."""
 
     def __init__(self, runner: Runner, now: float) -> None:
         self.runner = runner
@@ -57,10 +61,10 @@
 
 
 class Probe:
-    """One connection opened to see whether anybody listens; see :class:`StreamOwner`.
+    """Opens a connection to check whether a process listens; see :class:`StreamOwner`.
 
     Args:
-        on_answer: called once: whether it was refused, or None if nothing came in time.
+        on_result: called once with whether the connection was refused, None if inconclusive.
     """
 
     def __init__(self, loop: Loop, address: str, on_answer: Callable[[bool | None], None]) -> None:
@@ -76,20 +80,20 @@
             loop.call_later(0.0, lambda: self._end(refused))
 
     def on_connected(self) -> None:
-        """Somebody listens there, and lives if the connection stays."""
+        """Report the connection as accepted if it stays open."""
         self._timer.cancel()
         self._timer = self._loop.call_later(KEPT_S, lambda: self._end(False))
 
     def on_data(self, data: bytes) -> None:
-        """Nothing is expected."""
+        """Ignore received data."""
 
     def on_closed(self, is_clean: bool) -> None:
-        """The connection did not come up, or was closed at once."""
+        """Report a refusal, or an inconclusive result if the connection was closed otherwise."""
         refused = self._stream is not None and self._stream.error == errno.ECONNREFUSED
         self._end(True if refused else None)
 
     def on_drained(self) -> None:
-        """Nothing is sent."""
+        """Do nothing: the probe sends no data."""
 
     def _end(self, refused: bool | None) -> None:
         if self._is_over:
@@ -103,14 +107,14 @@
 
 @attrs.frozen
 class RunnerKnowledge:
-    """What a watch asks of what is known of runners.
+    """The required view of the runners.
 
     Attributes:
-        is_listed: whether the state of a runner is the listed one's.
-        has_ended: whether a later start under the same id is known.
-        others_at: the instances listed at an address.
-        count: how many runners are listed.
-        has_connection: whether a connection kept to a runner is still open.
+        is_listed: returns whether a runner's state belongs to the listed instance.
+        has_restarted: returns whether a later instance under the same runner id is known.
+        instances_at: returns the instances listed at an address.
+        count: returns the number of listed runners.
+        has_connection: returns whether a kept-alive connection to an instance is still open.
     """
 
     is_listed: Callable[[RunnerState], bool]
@@ -121,11 +125,11 @@
 
 
 class CrashWatch:
-    """Keeps the cases of the runners at which runs broke lately.
+    """Investigates the runner instances whose connections broke recently.
 
     Args:
-        on_ended: called with a start that has ended and the runs that broke there.
-        probe: opens a connection to an address and tells what came of it.
+        on_crashed: called with a crashed instance and the fingerprints of its requests.
+        probe: opens a connection to an address and reports the result.
     """
 
     def __init__(
@@ -142,12 +146,12 @@
         self._cases: dict[str, Case] = {}
 
     def note_broken(self, state: RunnerState, run: bytes) -> None:
-        """Take in that the connection of a run ended before its answer did."""
+        """Handle a request whose connection closed before its response was complete."""
         runner = state.runner
         if runner.is_draining:
             return
         if self._runners.has_ended(runner):
-            # The entry of a later start came before this run broke.
+            # The entry of a later instance arrived before this connection broke.
             self._on_ended(runner.instance, [run])
             return
         if not self._runners.is_listed(state):
@@ -164,7 +168,7 @@
             self._ask(case)
 
     def when_known(self, instance: str, call: Callable[[], None]) -> None:
-        """Make a call as soon as it is known whether a runner has ended, or cannot be known."""
+        """Call back once it is known whether an instance crashed, or if that stays unknown."""
         case = self._cases.get(instance)
         if case is None or not case.is_asking:
             call()
@@ -172,7 +176,7 @@
             case.waiting.append(call)
 
     def look_again(self) -> None:
-        """Take in that other runners are listed: a later start proves that one has ended."""
+        """Check whether listed runners show that an investigated instance was replaced."""
         now = self._loop.now()
         for instance, case in list(self._cases.items()):
             if now - case.began_at > REMEMBERED_S:
@@ -186,7 +190,7 @@
         return any(other != runner.instance for other in self._runners.others_at(runner.address))
 
     def has_open_cases(self) -> bool:
-        """Whether it may soon be known of some runner whether it has ended."""
+        """Whether any investigation is still in progress."""
         return any(case.is_asking or case.next_probe is not None for case in self._cases.values())
 
     def _ask(self, case: Case) -> None:
@@ -213,18 +217,18 @@
             runs=len(case.runs),
         )
         if case.has_ended:
-            # A later start proved it first.
+            # The entry of a later instance proved the crash first.
             pass
         elif refused and not self._runners.has_connection(case.runner.instance):
             self._end(case)
         elif refused is False and case.was_accepted:
-            # It lives: what broke there was a connection.
+            # The runner is alive; only a connection broke.
             self._cases.pop(case.runner.instance, None)
         elif refused is False and case.probes == 1:
             case.was_accepted = True
             self._ask_later(case, CONFIRMED_S)
         elif refused is False:
-            # A later start may have accepted it: only its entry tells.
+            # A later instance may have accepted it; only its listed entry can prove the crash.
             case.probes = len(PAUSES_S) + 1
         elif case.probes <= len(PAUSES_S):
             self._ask_later(case, PAUSES_S[case.probes - 1])
--- a/src/martenrun/router/fingerprint.py
+++ b/src/martenrun/router/fingerprint.py
@@ -1,7 +1,7 @@
-"""Which requests are the same one that comes again: alike in caller, method, target and body.
+"""Identifies repeated requests: equal in caller, method, target and body.
 
-The digest of a body is made only where something of the same outline is suspected, or has ended a
-runner: with nothing suspected a request costs nothing.
+The digest of a body is computed only if a request with the same prefix has a crash record or was
+served by a crashed runner.  Without crash records requests cost nothing.
 """
 
 import hashlib
@@ -11,16 +11,16 @@
 from martenrun.router.messages import Admitted
 
 OUTLINE_BYTES = 8
-"""The caller's tag (4 bytes) and the outline (4 bytes) that a fingerprint begins with."""
+"""Length of a fingerprint's prefix: the caller's checksum and a checksum of the request's head."""
 
 CALLER_BYTES = 4
 
 DIGEST_BYTES = 16
-"""Bytes of the digest: 128 bits, so that no two bodies share one by chance."""
+"""Length of the digest: 128 bits make collisions negligible."""
 
 
 def outline(request: HttpRequest, admitted: Admitted) -> bytes:
-    """Return what a fingerprint begins with, without a look at the body's bytes."""
+    """Return the prefix of a request's fingerprint, which does not depend on the body's content."""
     tenant = admitted.tenant
     caller = b"" if tenant is None else tenant.name.encode()
     tag = zlib.crc32(caller)
@@ -34,7 +34,7 @@
 
 
 def fingerprint(request: HttpRequest, admitted: Admitted) -> bytes:
-    """Return what is alike for all comings of one request, and for no other."""
+    """Return the fingerprint of a request, which is equal for repetitions of the same request."""
     start = outline(request, admitted)
     digest = hashlib.blake2b(start, digest_size=DIGEST_BYTES)
     digest.update(b"%b %b\0" % (request.method, request.target))
--- a/src/martenrun/router/suspects.py
+++ b/src/martenrun/router/suspects.py
@@ -1,8 +1,8 @@
-"""What a router knows and tells of requests that end the runners which run them.
+"""Tracks requests that crash the runners serving them, and shares the crash records.
 
-What it finds out goes to all routers at once, and again until the store holds it: who reads the
-store writes it there, and everybody follows that.  So those that joined, started anew, stood still
-or were cut off know as well, and a loss of all routers forgets nothing.
+New records are broadcast to all routers, and again until the store holds them.  A store reader
+writes them to the store, which all routers follow.  Routers that joined, restarted, were suspended
+or were cut off therefore receive them too, and a restart of all routers loses no records.
 """
 
 import random
@@ -19,24 +19,27 @@
 from martenrun.router.runner_state import RunnerState
 
 TOLD_AGAIN_S = 0.5
-"""How often what the store does not hold yet is told again, in seconds."""
+"""How often records that the store does not hold yet are broadcast again, in seconds."""
 
 TOLD_FOR_S = 30.0
-"""For how long that is done, in seconds: longer outages of the store are over for newcomers too."""
+"""How long records are broadcast again, in seconds.
+
+During a longer outage of the store, other routers receive them when they join or when it ends.
+"""
 
 RECORDS_PER_DATAGRAM = 100
-"""Requests told of in one datagram, of some 100 bytes each."""
+"""Records per datagram, about 100 bytes each."""
 
 TELLERS = 8
-"""How many routers or so tell a newcomer what they know."""
+"""Approximate number of routers that send their records to a joining router."""
 
 
 class Suspects:
-    """The blame of requests at one router.
+    """The crash records of one router and the investigation of runner crashes.
 
     Args:
-        tell: sends news to all routers.
-        rng: draws who tells a newcomer.
+        broadcast: sends an update to all routers.
+        rng: decides whether this router sends its records to a joining router.
     """
 
     def __init__(
@@ -61,71 +64,71 @@
     # Requests
 
     def fingerprint(self, request: HttpRequest, admitted: Admitted) -> bytes | None:
-        """Return the fingerprint of a request of which something is known, else None."""
+        """Return the fingerprint of a request that has a crash record, else None."""
         if not len(self.table) or not self.table.knows_outline(outline(request, admitted)):
             return None
         found = fingerprint(request, admitted)
         return found if self.table.knows(found) else None
 
     def held_for_s(self, run: bytes | None) -> float:
-        """Return for how long a request is held back, in seconds; 0 if it is not."""
+        """Return the remaining block duration of a request in seconds; 0 if it is not blocked."""
         return 0.0 if run is None else self.table.held_for_s(run, self._loop.now())
 
     def is_suspect(self, run: bytes | None) -> bool:
-        """Whether a request may have ended a runner."""
+        """Whether a request may have crashed a runner."""
         return run is not None and self.table.starts(run) > 0
 
     def note_broken(self, state: RunnerState, request: HttpRequest, admitted: Admitted) -> None:
-        """Take in that the connection of a run ended before its answer did."""
+        """Handle a request whose connection closed before its response was complete."""
         self.watch.note_broken(state, fingerprint(request, admitted))
 
     def note_left(self, state: RunnerState, request: HttpRequest, admitted: Admitted) -> None:
-        """Take in that a runner started anew while it ran a request."""
+        """Record that a runner restarted while serving a request."""
         if not state.runner.is_draining:
             self._on_ended(state.runner.instance, [fingerprint(request, admitted)])
 
     def list_blamed(self) -> list[BlamedRequest]:
-        """Return what operators are told."""
+        """Return the crash records as shown to operators."""
         return self.table.listed(self._loop.now())
 
     def clear(self, run: bytes) -> bool:
-        """Take in an operator's word that a request is harmless; return whether it is known."""
+        """Clear a request on behalf of an operator; return whether it has a crash record."""
         if not self.table.knows(run):
             return False
         self.note_whole(run)
         return True
 
     def note_whole(self, run: bytes | None) -> None:
-        """Take in that a request came to an end of its own at a runner."""
+        """Record that a request completed at a runner."""
         if run is not None and self.table.note_whole(run, self._loop.now()):
             self._spread({run})
 
     # Other routers and the store
 
     def take(self, news: BlameNews) -> None:
-        """Take in what another router tells."""
+        """Merge the records sent by another router."""
         self.table.merge(news.records, self._loop.now())
         self._log_held()
 
     def take_stored(self, records: list[BlameRecord]) -> None:
-        """Take in what the store holds."""
+        """Merge the records held by the store."""
         self.stored = records
         self.table.merge(records, self._loop.now())
         self._log_held()
 
     def lacking_in_store(self) -> set[bytes]:
-        """Return the requests of which the store does not hold all that is known here."""
+        """Return the requests whose records here contain more than the store's."""
         return self.table.lacking(self.stored) if len(self.table) else set()
 
     def newcomer_news(self, routers: int) -> BlameNews | None:
-        """Return what a router that has just been heard of is told; of many routers a few tell."""
+        """Return the records for a joining router; among many routers only a few send them."""
         if not len(self.table) or self._rng.random() > TELLERS / max(1, routers):
             return None
         records = self.table.records(self._loop.now())
         return BlameNews(records[:RECORDS_PER_DATAGRAM])
 
     def keep_house(self) -> None:
-        """Tell again what may not have arrived, and forget what is over."""
+        """Broadcast records that may not have arrived, and drop expired ones."""
         now = self._loop.now()
         self.table.runners = self._runners.count()
         self.table.forget(now)
@@ -160,7 +163,7 @@
             self._tell(BlameNews(records[first : first + RECORDS_PER_DATAGRAM]))
 
     def _log_held(self) -> None:
-        """Log which requests are held back from now on, or no longer."""
+        """Log which requests have been blocked or unblocked since the last call."""
         held = set(self.table.held(self._loop.now())) if len(self.table) else set()
         for run in held - self._held:
             log_trouble("request_held_back", fingerprint=run.hex(), starts=self.table.starts(run))
