--- a/tests/router/blame_fleet.py
+++ b/tests/router/blame_fleet.py
@@ -1,7 +1,7 @@
-"""Routers that tell each other of a deadly request, in virtual time: gossip, relays and the store.
+"""Simulates routers that share crash records, in virtual time, with gossip, relays and the store.
 
-``python -m router.blame_fleet`` in ``tests/`` prints how long it takes until all know, and how many
-more runners the request reaches, by size and trouble.
+``python -m router.crash_fleet`` in ``tests/`` prints how long it takes until all routers block a
+crash-causing request, and how many more runners it reaches, by fleet size and failure.
 """
 
 import math
@@ -24,7 +24,7 @@
 RUN = fingerprint(request(b"deadly"), admitted())
 KIND = "router-blame"
 CRASH_S = 0.1
-"""How long a run lasts until its runner ends, in seconds."""
+"""How long a run lasts before its runner crashes, in seconds."""
 
 SETTLED_S = 8.0
 KNOWN_WITHIN_S = 3.0
@@ -32,7 +32,7 @@
 
 
 class BlameKeepingStore(CountingStore):
-    """A store that also keeps the routers' own object."""
+    """A store that also holds the routers' crash records."""
 
     def __init__(self, loop):
         super().__init__(loop)
@@ -68,7 +68,7 @@
 
 
 class BlamingRouter(KeptRouter):
-    """A router that follows, tells and stores blame."""
+    """A router that follows, broadcasts and stores crash records."""
 
     def __init__(self, fleet, address, seeds):
         super().__init__(fleet, address, seeds)
@@ -106,7 +106,7 @@
 
 
 class BlamingFleet(Fleet):
-    """Routers, the store, and one deadly request that comes again and again at any router."""
+    """Routers, the store, and one crash-causing request that is sent repeatedly to any router."""
 
     def __init__(self, seed, count, lost_share=0.0, zones=5):
         super().__init__(seed, count, zones)
@@ -140,13 +140,13 @@
         super().stop(address)
 
     def restart(self, addresses):
-        """Kill routers at the same moment; they are back shortly."""
+        """Kill routers at the same time and restart them shortly after."""
         for address in addresses:
             self.stop(address)
             self.loop.call_later(RESTART_S, lambda address=address: self.start(address))
 
     def request_on(self, pause_s):
-        """Send the deadly request to some router, again and again."""
+        """Send the crash-causing request to a random router, repeatedly."""
         if self.members:
             router = self.rng.choice(list(self.members.values()))
             if not router.knows():
@@ -162,7 +162,7 @@
             router.suspects._on_ended(start, [RUN])
 
     def late_arrivals(self):
-        """Arrivals by routers in touch later than all must know of the third end."""
+        """Count arrivals after the time by which the router should know of the third crash."""
         known_from = self.crashes[2] + KNOWN_WITHIN_S
         return sum(at > known_from and at - born > KNOWN_WITHIN_S for at, born in self.arrivals)
 
@@ -189,7 +189,7 @@
 
 
 def play(seed, count, trouble, lost_share=0.1, pause_s=0.5, trouble_after=3, lasts_s=14.0):
-    """Play one fleet; trouble strikes half a second after so many ends."""
+    """Simulate one fleet; the failure occurs half a second after the given number of crashes."""
     fleet = BlamingFleet(seed, count, lost_share)
     fleet.start_all()
     fleet.world.run(SETTLED_S)
--- a/tests/router/blame_world.py
+++ b/tests/router/blame_world.py
@@ -1,4 +1,4 @@
-"""For tests of the blame of requests: probes by hand, requests, one router's knowledge."""
+"""Helpers for tests of crash records: scripted probes and runners, requests, a tracker."""
 
 from martenrun.net.http import HttpRequest
 from martenrun.router.crash_watch import RunnerKnowledge
@@ -11,7 +11,7 @@
 
 
 class Probes:
-    """Answers probes of addresses: refused, accepted, closed at once, or nothing in time."""
+    """Answers probes by address: refused, accepted, inconclusive, or no result in time."""
 
     def __init__(self):
         self.refused = set()
@@ -29,7 +29,7 @@
 
 
 class Runners:
-    """What is known of runners, by hand."""
+    """A scripted view of the runners."""
 
     def __init__(self):
         self.unlisted = set()
@@ -48,7 +48,7 @@
 
 
 def suspects(loop, probes=None, runners=None, tell=lambda _news: None):
-    """Return one router's blame of requests."""
+    """Return the crash tracker of one router."""
     return Suspects(loop, (runners or Runners()).knowledge(), tell, probes or Probes())
 
 
@@ -58,7 +58,7 @@
 
 
 def admitted(tenant="t", host="a.example", **changes):
-    """Return what admission makes of one."""
+    """Return an admitted request."""
     call = Call(b"r1", host, "/a/x", b"k1", 3.0, None, (), 0, 0)
     who = None if tenant is None else Tenant(tenant, 1, False)
     return Admitted(call, route(**changes), who, "s", 103.0, 102.0)
--- a/tests/router/quota_ways.py
+++ b/tests/router/quota_ways.py
@@ -1,10 +1,11 @@
-"""Ways to hold a tenant's rate over many routers, compared in virtual time.
+"""Compares methods of enforcing a tenant's rate at many routers, in virtual time.
 
-    python -m router.quota_ways SIZES      in tests/, sizes as 8,79; prints a table
-    python -m router.quota_ways honest N   N requests of tenants at 0.9 of their rate, 16 routers
+    python -m router.compare_quota_methods SIZES      in tests/, sizes as 8,79; prints a table
+    python -m router.compare_quota_methods honest N   N requests of tenants at 0.9 of their rate,
+                                                      16 routers
 
-`even` splits the limit evenly; `told` counts by each router's own use and what the others' records
-tell of theirs, as old as the gossip makes it; `keepers` is what routers do.
+`even` splits the limit evenly; `gossip` counts a router's own use and the use that the other
+routers' gossip records report, as old as the gossip is; `owners` is what routers do.
 """
 
 import bisect
@@ -23,7 +24,7 @@
 
 
 class Decided:
-    """What the ways that ask nobody answer with."""
+    """The decision of a gate that asks no other router."""
 
     def __init__(self, is_granted, wait_s=0.0):
         self.is_granted = is_granted
@@ -31,7 +32,7 @@
 
 
 class EvenGate:
-    """Grants an even part of the limit."""
+    """Grants an even share of the limit."""
 
     def __init__(self, fleet, address):
         part = 1.0 / len(fleet.addresses)
@@ -48,7 +49,7 @@
 
 
 class ToldGate:
-    """Grants by its own use and that of the others as their last records told it."""
+    """Grants by its own use and by the use that the others' last gossip records report."""
 
     def __init__(self, fleet, address):
         limit = fleet.limit
@@ -60,7 +61,7 @@
         self._known = 0
 
     def total_at(self, at):
-        """Return what this router had used by a time."""
+        """Return the units that this router had used by a time."""
         return self._totals[bisect.bisect_right(self._times, at) - 1]
 
     def ask(self, tenant, limit, units, on_decided):
@@ -83,7 +84,7 @@
 
 
 def fleet_of(way, seed, routers):
-    """Return a settled fleet that holds rates in one way."""
+    """Return a settled fleet that enforces rates with one method."""
     fleet = QuotaFleet(seed, routers, limit=LIMIT)
     fleet.run(SETTLED_S)
     if WAYS[way] is not None:
@@ -93,7 +94,7 @@
 
 
 def line(way, routers):
-    """Play a greedy tenant and an honest one; return a row of the table."""
+    """Simulate a greedy tenant and one within its limit; return a row of the table."""
     greedy = fleet_of(way, 1, routers)
     greedy.load("t", 5 * LIMIT.units_per_s, LOAD_S)
     greedy.run(LOAD_S + 2)
@@ -112,7 +113,7 @@
 
 
 def honest_tenants(least):
-    """Let tenants keep within their limits until so many requests were made; return a line."""
+    """Simulate tenants within their limits until enough requests were made; return a summary."""
     made = refused = 0
     longest_s = 0.0
     for seed in itertools.count():
--- a/tests/router/quota_world.py
+++ b/tests/router/quota_world.py
@@ -1,4 +1,4 @@
-"""Routers that hold tenants' rates, in virtual time: real gossip and accounts, links that fail."""
+"""Simulates routers that enforce rate limits, in virtual time, with real gossip and lossy links."""
 
 import bisect
 import random
@@ -18,13 +18,13 @@
 UDP_HEAD_BYTES = 28
 
 PROMPT_TOKENS = (9_190, 9_190, 875, 875, 875, 200)
-"""Units of the requests that callers send in turn: long prompts, short questions, plain ones."""
+"""Units of callers' requests, chosen at random: long prompts, short queries, plain requests."""
 
 
 class LinkedWorld(GossipWorld):
-    """A world in which some routers cannot reach others.
+    """A simulation in which some routers cannot reach others.
 
-    ``groups`` names the side of each router that is cut off; the others are on one side.
+    ``groups`` maps each router that is cut off to its partition; all others share one.
     """
 
     def __init__(self, seed, **arguments):
@@ -34,18 +34,18 @@
         self.datagrams = 0
 
     def carry(self, sender, address, data):
-        """Send a datagram unless a cut lies between."""
+        """Send a datagram unless the routers are in different partitions."""
         if self.groups.get(sender) == self.groups.get(address):
             self.send(address, data)
 
 
 class QuotaFleet:
-    """Some routers with accounts, their callers, and what reached runners.
+    """Routers with rate-limited accounts, their callers, and the requests that reached runners.
 
     Args:
-        seed: of what is drawn.
-        count: routers.
-        loss: share of the datagrams of accounts that is lost.
+        seed: seed of the random generator.
+        count: number of routers.
+        loss: probability that a datagram about accounts is lost.
     """
 
     def __init__(
@@ -70,7 +70,7 @@
             self.start(address, is_first_start)
 
     def start(self, address, is_first_start=False):
-        """Start a router, in place of an earlier life at its address."""
+        """Start a router, replacing an earlier incarnation at its address."""
         seeds = tuple(self.addresses[:3])
         stage = QuotaStage.ESTABLISHED if is_first_start else QuotaStage.JOINING
         self.world.start(address, seeds, address.split(".")[1], quota_stage=stage.value)
@@ -113,12 +113,12 @@
             self.loop.call_later(0.25, lambda: self._keep_house(address, gate))
 
     def stop(self, address):
-        """Kill a router; its callers are refused until it is back."""
+        """Kill a router; its callers are refused until it is restarted."""
         self.world.stop(address)
         del self.gates[address]
 
     def leave(self, address, grace_s=3.0):
-        """Let a router leave as told: it says so, serves on for a while, and ends for good."""
+        """Shut a router down: it announces that it leaves, serves on for a while, and exits."""
         self.addresses.remove(address)
         peers = self.world.routers[address]
         peers.own.is_leaving = True
@@ -126,24 +126,24 @@
         self.loop.call_later(grace_s, lambda: self.stop(address))
 
     def vanish(self, address):
-        """End a router for good without a word."""
+        """Remove a router permanently and without notice."""
         self.addresses.remove(address)
         self.stop(address)
 
     def restart(self, addresses, after_s):
-        """Kill some routers and start them again."""
+        """Kill some routers and restart them."""
         for address in addresses:
             self.stop(address)
         self.loop.call_later(after_s, lambda: [self.start(address) for address in addresses])
 
     def cut(self, addresses, group, for_s=None):
-        """Cut routers off from the others, not from each other."""
+        """Cut routers off from the others but not from each other."""
         self.world.groups.update(dict.fromkeys(addresses, group))
         if for_s is not None:
             self.loop.call_later(for_s, lambda: [self.world.groups.pop(a, None) for a in addresses])
 
     def change_limit(self, limit):
-        """Put a later configuration in force at all routers."""
+        """Put a newer configuration into effect at all routers."""
         self.configuration += 1
         self.limit = limit
         self.in_force.append((self.now(), limit))
@@ -164,7 +164,7 @@
     # Callers
 
     def ask(self, tenant, units, address=None):
-        """Let one caller come to a router; what is granted reaches a runner at once."""
+        """Send one request to a router; if granted, it reaches a runner at once."""
         router = address or self.rng.choice(self.addresses)
         gate = self.gates.get(router)
         if gate is None or self.world.routers[router].is_still:
@@ -183,7 +183,7 @@
         gate.ask(tenant, self.limit, units, decided)
 
     def load(self, tenant, units_per_s, for_s, routers=None):
-        """Let a tenant's callers ask for so many units a second, at random times and routers."""
+        """Let a tenant request units at a mean rate, at random times and routers."""
         mean = sum(PROMPT_TOKENS) / len(PROMPT_TOKENS)
         at_s = 0.0
         while True:
@@ -194,10 +194,10 @@
             address = self.rng.choice(routers) if routers else None
             self.loop.call_later(at_s, lambda u=units, a=address: self.ask(tenant, u, a))
 
-    # What runners saw
+    # Requests that reached runners
 
     def worst_window(self, tenant="t", since=0.0):
-        """Return the most units that reached runners within a window, as a part of what may."""
+        """Return the most units that reached runners within a window, relative to the bound."""
         limit = self.limit
         allowed = self.bounds.window_units(limit.units_per_s, limit.burst_units)
         return self.most_in_window(tenant, since) / (
@@ -220,7 +220,7 @@
         )
 
     def refused_share(self, tenant="t", since=0.0):
-        """Return the part of a tenant's requests that was refused."""
+        """Return the fraction of a tenant's requests that were refused."""
         refused = sum(who == tenant and at >= since for at, who, *_ in self.refused)
         served = sum(who == tenant and at >= since for at, who, _ in self.arrived)
         return refused / max(1, refused + served)
--- a/tests/router/test_blame_fleet.py
+++ b/tests/router/test_blame_fleet.py
@@ -1,4 +1,4 @@
-"""Fleets in virtual time: all know a deadly request in time, whatever strikes after its ends."""
+"""Tests that all routers of a simulated fleet block a crash-causing request in time."""
 
 import pytest
 
@@ -28,8 +28,8 @@
 
 
 def test_what_the_store_keeps_outlasts_one_loss_of_power_after_another():
-    """A request that comes slowly would end three more runners after each loss, most of them by
-    routers that have been in touch for long enough to know."""
+    """Guards against three more crashes after each restart of all routers, caused by a slowly
+    repeated request at routers that had run long enough to know of it."""
     fleet, _ = play(1, 7, "none", pause_s=1.5)
     for _ in range(4):
         TROUBLES["all lose power"](fleet)
--- a/tests/router/test_blame_page.py
+++ b/tests/router/test_blame_page.py
@@ -1,4 +1,4 @@
-"""Operators list what ends runners and clear a request, at the internal interface."""
+"""Tests for listing and clearing crash-causing requests at the internal interface."""
 
 import pytest
 from click.testing import CliRunner
--- a/tests/router/test_blame_table.py
+++ b/tests/router/test_blame_table.py
@@ -1,4 +1,4 @@
-"""Who is held back: ends merged as sets, cleared by success, believed for a time, bounded."""
+"""Tests for the crash table: which requests are blocked, for how long, and what is evicted."""
 
 import random
 
@@ -37,7 +37,7 @@
 
 
 def end_by_chance(table, ends, at):
-    """Let starts end, each under a request of its own."""
+    """Record crashes that each occur while serving a different request."""
     for number in range(ends):
         table.note_ended(key_of(number, number), f"chance-{number}", at)
 
@@ -186,7 +186,7 @@
 
 
 def test_what_has_ended_three_starts_explains_them():
-    """Several deadly requests at a time are no chance: none of them gets a fourth runner for it."""
+    """Crashes explained by other crash-causing requests do not raise the threshold."""
     table = blamed(DEADLY_AFTER)
     for number in range(1, 20):
         for start in range(DEADLY_AFTER):
@@ -195,7 +195,10 @@
 
 
 def test_a_request_that_is_held_back_is_not_let_go_for_what_ends_later():
-    """In the soak it was, 3 s after it was held back, and ended one more runner."""
+    """Guards against later unrelated crashes that unblocked a request.
+
+    In the soak one was unblocked 3 s after it was blocked, and crashed one more runner.
+    """
     table = blamed(DEADLY_AFTER)
     end_by_chance(table, 100, 101.0)
     assert table.held_for_s(DEADLY, 101.0) > 0
@@ -259,7 +262,10 @@
 
 
 def test_requests_that_never_came_again_do_not_hide_how_often_runners_end():
-    """One runner carried all when it ended: 500 requests are blamed once and never clear."""
+    """Guards against requests with a single crash that hide the rate of unrelated crashes.
+
+    A runner that crashes while serving 500 requests leaves a record of each that is never cleared.
+    """
     table = BlameTable()
     table.runners = RUNNERS
     for number in range(MOST_BLAMED):
--- a/tests/router/test_crash_watch.py
+++ b/tests/router/test_crash_watch.py
@@ -1,4 +1,4 @@
-"""What proves that a runner has ended: a refused connection or a later start, nothing else."""
+"""Tests that only a refused connection or a later instance proves a runner's crash."""
 
 import pytest
 
@@ -75,8 +75,8 @@
     assert watched.ended == [] and watched.probes.asked == []
 
 
-# Guards against ends of runners that count for no request: the next start was listed as the run
-# broke.
+# Guards against crashes that no request was blamed for because the next instance was listed before
+# the connection broke.
 def test_a_run_that_breaks_once_a_later_start_is_listed_counts_for_the_one_that_ended(watched):
     watched.runners.unlisted.add("i-1")
     watched.runners.ended.add("i-1")
@@ -109,8 +109,8 @@
     assert watched.ended == [("i-1", [RUN])]
 
 
-# Guards against ends that were learned seconds late, or never: what is just ending, or stands
-# before a runner, accepts a connection and closes it at once.
+# Guards against crashes detected seconds late or never because a process that is exiting, or a
+# proxy before it, accepts a connection and closes it at once.
 def test_an_inconclusive_probe_is_repeated_until_the_end_is_proved(watched):
     watched.probes.unclear.add("127.0.0.1:1")
     watched.watch.note_broken(state("i-1"), RUN)
@@ -123,8 +123,8 @@
     assert not watched.watch.has_open_cases()
 
 
-# Guards against ends that were never learned: a refusal counted as a sign of life while the reset
-# of a kept connection had not arrived.
+# Guards against undetected crashes: a refusal counted as a sign of life while the reset of a
+# kept-alive connection had not arrived.
 def test_a_refusal_counts_once_no_kept_connection_is_open(watched):
     watched.probes.refused.add("127.0.0.1:1")
     watched.runners.connected.add("i-1")
@@ -135,8 +135,8 @@
     assert watched.ended == [("i-1", [RUN])]
 
 
-# Guards against ends that were never learned: one accepted probe counted as a sign of life, though
-# only something in between had not noticed the end yet.
+# Guards against undetected crashes: one accepted probe counted as a sign of life although a proxy
+# had not noticed the crash yet.
 def test_a_runner_lives_only_if_it_accepts_twice(watched):
     watched.watch.note_broken(state("i-1"), RUN)
     watched.run(0.05)
@@ -224,7 +224,7 @@
 
 
 def test_a_connection_that_is_accepted_and_closed_at_once_says_nothing():
-    """Something in between accepts it for a runner that has ended, or the runner has too many."""
+    """A proxy accepts it for a crashed runner, or the runner has too many connections."""
     loop = Loop()
     answers = []
     peer = RunnerPeer()
--- a/tests/router/test_deadly_requests.py
+++ b/tests/router/test_deadly_requests.py
@@ -1,11 +1,10 @@
-"""A request that crashes each runner which begins to run it stops reaching runners.
-
-Seen: 26 runners of six ended within 68 s, each with all it was working on; one request was sent to
-runners nine times more after three had ended under it, by any router, and its callers got 502 each
-time.  It came about because the same body comes again under new request ids at other routers.
-Cause: nothing connected the end of a runner with the request that it was running; what bounds
-repeats bounds those of one request id.  What proved it: arrivals of one body at stand-in runners,
-counted here over all routers, and over a kill of all of them.
+"""Tests that a request that crashes every runner serving it stops reaching runners.
+
+Guards against one request body that crashed runner after runner: 26 crashes of six runners within
+68 s, and nine more arrivals after the third crash, each answered with 502.  The same body was sent
+again under new request ids at other routers, and the limits on repeats apply to one request id.
+Real routers run with stand-in runners; arrivals of the body are counted over all routers, and over
+a restart of all of them.
 """
 
 import itertools
@@ -30,13 +29,13 @@
 DEADLY_PAUSE_S = 0.25
 
 LATE_COMINGS = 15
-"""How often the deadly request comes after that: for some four seconds."""
+"""Number of further attempts with the crash-causing request, about four seconds."""
 
 INNOCENT_CALLERS = 4
 
 
 class Callers:
-    """One caller with the deadly body and some with bodies of their own, at any router."""
+    """One caller with the crash-causing body and some with other bodies, at random routers."""
 
     def __init__(self, deployment, seed):
         self._deployment = deployment
@@ -72,7 +71,7 @@
 
 
 def late_arrivals(deployment):
-    """Return when the deadly body reached runners later than all routers must know of it."""
+    """Return when the crash-causing body arrived after all routers should have blocked it."""
     third_at = third_crash_at(deployment)
     assert third_at is not None, "fewer than three runners crashed"
     arrivals = [run.at for r in deployment.runners for run in r.runs if run.body == DEADLY]
@@ -80,7 +79,7 @@
 
 
 def wait_for_answers(deployment, callers, after, count):
-    """Wait until the deadly request has been answered so often, asked later than a time."""
+    """Wait for responses to crash-causing requests that were sent after a time."""
 
     def has_come():
         return sum(at > after for at, _ in list(callers.statuses["deadly"])) >= count
@@ -103,7 +102,7 @@
         wait_for_answers(deployment, callers, known_from, LATE_COMINGS)
         callers.stop()
     assert len(late_arrivals(deployment)) <= ARRIVALS_LEFT
-    # What it crashed is back by then, so that innocent callers are served again.
+    # The crashed runners are back by then, so that innocent callers are served again.
     assert served_share(callers, third_crash_at(deployment) + KNOWN_WITHIN_S) > 0.99
 
 
@@ -124,8 +123,8 @@
     assert len(late_arrivals(deployment)) <= ARRIVALS_LEFT
 
 
-# Guards against evidence that was lost with its only witness: a router that stopped within seconds
-# of the end, before the end was proved.
+# Guards against lost evidence: the only router that saw a disconnect stopped within seconds, before
+# the crash was proved.
 def test_a_router_that_stops_tells_of_a_runners_end_first():
     with PlatformDeployment(2, 1, 1, has_relays=True) as deployment:
         stopping, staying = deployment.routers
--- a/tests/router/test_quota_account.py
+++ b/tests/router/test_quota_account.py
@@ -1,4 +1,4 @@
-"""One tenant's account: what may pass in a window, who waits how long, what is forgotten."""
+"""Tests for one account: units granted per window, retry delays, and expiry of grants."""
 
 import itertools
 import random
@@ -23,12 +23,12 @@
 
 
 def spend(made, units, now):
-    """Ask for units under a number of its own."""
+    """Request units with a new grant number."""
     return made.ask(("a", next(NUMBERS)), units, now)
 
 
 def granted_over(made, seconds, units, per_s, began=0.0):
-    """Return (time, units) of what is granted to a tenant that asks so often."""
+    """Return (time, units) of the grants of a tenant that requests units at a fixed rate."""
     granted = []
     for step in range(int(seconds * per_s)):
         now = began + step / per_s
@@ -47,11 +47,11 @@
     slack = BOUNDS.slack(LIMIT.units_per_s, LIMIT.burst_units)
     most = most_in_window(granted)
     assert most <= 8 * 30_000 + 30_000 + slack
-    assert most >= 8 * 30_000  # what is allowed can be used
+    assert most >= 8 * 30_000  # the allowance can be used
 
 
 def test_what_keeps_within_rate_and_burst_is_never_refused():
-    """Requests that a bucket of exactly this rate and burst lets pass, late by some ms each."""
+    """Requests that a bucket of exactly this rate and burst admits, each some ms late."""
     rng = random.Random(5)
     left, at, made = 30_000.0, 0.0, account()
     for _ in range(20_000):
--- a/tests/router/test_quota_fleet.py
+++ b/tests/router/test_quota_fleet.py
@@ -1,9 +1,9 @@
-"""Tenants' rates over a whole fleet: greedy tenants under every kind of fault, and honest ones.
+"""Tests for rate limits over a fleet: greedy tenants under faults, and tenants within their limits.
 
-Pattern: one tenant asks for several times its limit at all routers, each of which sees a request
-of it every few seconds only.  Without accounts that all routers share, 3.6 of its limit passed six
-routers.  Bounds: what may reach runners in any window, over all routers, in touch or not; and
-nobody within its limit is refused.
+Guards against a tenant that requests several times its limit at all routers, each of which sees few
+of its requests: 3.6 times the limit passed six routers without shared accounts.  Bounds the units
+that reach runners in any window, over all routers, whether or not these reach each other, and the
+refusals of tenants within their limits.
 """
 
 import msgspec
@@ -26,7 +26,7 @@
 
 
 def greedy(routers, limit, seed=1, for_s=24.0, **more):
-    """Return a settled fleet to which one tenant comes with five times its limit."""
+    """Return a settled fleet at which one tenant requests five times its limit."""
     fleet = QuotaFleet(seed, routers, limit=limit, **more)
     fleet.run(SETTLED_S)
     fleet.load("t", 5 * limit.units_per_s, for_s)
@@ -74,7 +74,7 @@
 @LIMITS
 @pytest.mark.parametrize("seed", range(6))
 def test_two_halves_that_are_cut_off_from_each_other_stay_within_the_bound(routers, limit, seed):
-    """Either half may hold both keepers of the account, one, or none."""
+    """Either half may contain both owners of the account, one, or none."""
     fleet = greedy(routers, limit, seed)
     fleet.run(8.0)
     fleet.cut(fleet.rng.sample(fleet.addresses, routers // 2), 1, 10.0)
@@ -144,17 +144,17 @@
     fleet.change_limit(LARGE)
     changed_at = fleet.now()
     fleet.run(4.0)
-    # Five times the small limit is less than the raised one: all that comes from now on is served.
+    # Five times the small limit is less than the raised one, so every request is served.
     assert fleet.refused_share(since=changed_at + 0.01) == 0.0
     served = sum(units for at, _, units in fleet.arrived if at >= changed_at)
     assert served >= 3 * 4.0 * SMALL.units_per_s
 
 
-# Who keeps within its limit is not refused
+# Tenants within their limits are not refused
 
 
 def conforming(fleet, tenant, limit, for_s, part=0.9, routers=None):
-    """Let callers use a part of the rate in bursts that the burst allows; return how many come."""
+    """Schedule bursts at a fraction of the rate that the burst allows; return their count."""
     left, at_s, count = limit.burst_units, 0.0, 0
     rng = fleet.rng
     while at_s < for_s:
@@ -211,7 +211,7 @@
 
 @LIMITS
 def test_a_restart_of_all_refuses_those_within_their_usual_for_no_window(limit):
-    """Of many tenants, some are asked for at seeds that do not keep their accounts."""
+    """Of many tenants, some send requests to seeds that do not own their accounts."""
     fleet = QuotaFleet(5, 16, limit=limit)
     fleet.run(SETTLED_S)
     tenants = [f"t{number}" for number in range(8)]
@@ -267,6 +267,6 @@
 
 
 def test_a_record_with_more_fields_than_are_known_can_be_read():
-    """Routers of a later version add fields at the end."""
+    """Routers of a later version append fields."""
     later = [*msgspec.msgpack.decode(msgspec.msgpack.encode(router_record("a"))), "more", 7]
     assert msgspec.convert(later, RouterRecord).address == "a"
--- a/tests/router/test_quota_recovery.py
+++ b/tests/router/test_quota_recovery.py
@@ -1,4 +1,4 @@
-"""Accounts that routers come to own: recovered from what others remember, presumed only beyond."""
+"""Tests for the recovery of accounts from the grants that other routers remember."""
 
 import pytest
 
@@ -18,7 +18,7 @@
 BOUNDS = QuotaBounds(window_s=8.0, over_share=0.1, slack_units=800.0)
 WHOLE_MS = 8_000
 SPARE_UNITS = 100.0
-"""An eighth of the fixed slack, which a full account holds beside its burst."""
+"""An eighth of the fixed slack, which is added to the burst of a full account."""
 
 FULL_UNITS = LIMIT.burst_units + SPARE_UNITS
 NOW = 100.0
@@ -73,7 +73,7 @@
 
 
 def test_one_router_that_has_forgotten_hides_nothing():
-    """Each grant is known to two routers at least."""
+    """Each grant is known to at least two routers."""
     made = recovery("a", "b")
     made.add(memory("a", [(1, 500, 10)]), NOW)
     made.add(memory("b", remembered_ms=300), NOW)
@@ -93,7 +93,7 @@
 
 
 def test_what_came_back_since_all_remember_may_be_used():
-    """After a restart of all, rate that came back since the last of them started is there."""
+    """After a restart of all routers, units refilled since the last one started are available."""
     levels = []
     for up_ms in (100, 1_100):
         made = recovery("a", "b")
@@ -135,11 +135,11 @@
 
 KNOWN_SPARE = 4_000.0 / 8
 EXACT = TIGHT.window_units(5_100.0, 5_100.0) + 2 * KNOWN_SPARE
-"""What one account lets pass: no change of owners adds to that."""
+"""The most units that one account grants in a window; changes of owners must not add to it."""
 
 SETTLED_S = 16.0
 FIRST_SECONDS_S = 4.5
-"""Time from the start to the first request, in seconds: after a window, and within the first."""
+"""Times from the start to the first request, in seconds: after a window, and within the first."""
 
 SEEDS = pytest.mark.parametrize("seed", range(4))
 SIZES = pytest.mark.parametrize("routers", [5, 16])
@@ -147,7 +147,7 @@
 
 
 def tight_fleet(seed, routers, settled_s=SETTLED_S, for_s=24.0):
-    """A tenant asks for four times its rate, a request of it every 50 ms, at any router."""
+    """A tenant requests four times its rate, one request every 50 ms, at random routers."""
     fleet = QuotaFleet(seed, routers, limit=RATE, bounds=TIGHT)
     fleet.run(settled_s)
     for number in range(int(for_s / 0.05)):
@@ -156,7 +156,7 @@
 
 
 def owner_of(fleet):
-    """Return the first owner that stays, as one of the routers sees it."""
+    """Return the first owner that is not leaving, as seen by one of the routers."""
     owners = fleet.gates[fleet.addresses[-1]]._owners.owners("t")
     return next((address for address in owners if address in fleet.addresses), fleet.addresses[0])
 
@@ -168,7 +168,10 @@
 def test_owners_that_go_one_after_the_other_leave_their_account_behind(
     seed, routers, settled_s, end
 ):
-    """Each router that came to own it began with the whole burst (soak seed 6137)."""
+    """Guards against new owners that each opened the account with the whole burst.
+
+    Found by the soak with seed 6137.
+    """
     fleet = tight_fleet(seed, routers, settled_s)
     for _ in range(3):
         fleet.run(1.5)
@@ -180,7 +183,7 @@
 @SEEDS
 @SETTLED
 def test_routers_that_join_as_in_a_first_start_take_the_account_as_it_stands(seed, settled_s):
-    """Their settings may say that all start for the first time; the others remember."""
+    """Their settings may claim a first start of all routers, but the others remember grants."""
     fleet = tight_fleet(seed, 6, settled_s)
     for number in range(8):
         fleet.run(0.9)
@@ -195,7 +198,7 @@
 
 @SEEDS
 def test_an_account_that_lost_touch_for_a_while_is_recovered_before_it_is_used_again(seed):
-    """Its first owner is away and comes back; the second grants meanwhile."""
+    """Its first owner restarts repeatedly while the second keeps granting."""
     fleet = tight_fleet(seed, 8)
     for _ in range(3):
         fleet.run(2.0)
--- a/tests/router/test_rate_limits_read.py
+++ b/tests/router/test_rate_limits_read.py
@@ -1,4 +1,4 @@
-"""Tenants' limits as the operator's configuration holds them."""
+"""Tests for reading tenants' limits from the operator's configuration."""
 
 import pytest
 
--- a/tests/router/test_request_quota.py
+++ b/tests/router/test_request_quota.py
@@ -1,4 +1,4 @@
-"""A request of a tenant with a limit: asked for before it is sent, again for each further run."""
+"""Tests that a request of a tenant with a limit obtains one grant per run before it is sent."""
 
 import attrs
 import pytest
@@ -21,7 +21,7 @@
 
 
 class ScriptedGate:
-    """Answers questions for units from a script, after some seconds."""
+    """Decides requests for units by a script, after a delay."""
 
     def __init__(self, loop, verdicts, after_s=0.0):
         self._loop = loop
@@ -60,7 +60,7 @@
 
 
 def play(verdicts, script=(), after_s=0.0, **more):
-    """Play a request of a tenant with a limit; ``counted_tokens`` is 1,130."""
+    """Run a request of a tenant with a limit; ``counted_tokens`` is 1,130."""
     gates = []
 
     def limit(played):
@@ -145,7 +145,7 @@
     assert played.exchange.answers[0][0] == 200
 
 
-# What the platform tells
+# Token counts from the platform
 
 
 def call_with(usage):
--- a/tests/router/test_suspects.py
+++ b/tests/router/test_suspects.py
@@ -1,4 +1,4 @@
-"""Routers tell each other, and the store, what they know of requests that end runners."""
+"""Tests that crash records reach all routers and the store."""
 
 import random
 
@@ -23,7 +23,7 @@
 
 
 class Routers:
-    """Some routers; what each tells reaches the others, but for what is lost."""
+    """Routers whose updates reach each other with a given loss."""
 
     def __init__(self, count, lost_share=0.0, seed=1):
         self.loop = FakeLoop()
@@ -52,7 +52,7 @@
                     self.loop.call_later(0.002, lambda o=other: o.take(decode(data)))
 
     def crash(self, router, start):
-        """Let a runner end under the deadly request at one router."""
+        """Let a runner crash while serving the crash-causing request at one router."""
         self.each[router].note_broken(state(start), DEADLY, admitted())
 
     def run(self, seconds):
@@ -128,7 +128,7 @@
 
 
 class Kept:
-    """A router that reads the store, and the store."""
+    """A store reader and the store."""
 
     def __init__(self):
         self.loop = FakeLoop()
--- a/tests/router/test_tenant_rates.py
+++ b/tests/router/test_tenant_rates.py
@@ -1,8 +1,8 @@
-"""A tenant that asks for several times its rate at all routers gets its rate; others lose nothing.
+"""Tests that a greedy tenant gets its rate over all routers and that other tenants lose nothing.
 
-Pattern: each router sees little of a tenant, all together see four times its limit.  Real routers
-before stand-in runners; arrivals are counted at the runners, over all routers and over a kill of
-all of them.
+Each router sees few of a tenant's requests, while all routers together see four times its limit.
+Real routers run with stand-in runners; arrivals are counted at the runners, over all routers and
+over a restart of all of them.
 """
 
 import itertools
@@ -19,7 +19,7 @@
 from martenrun.cli.main import main
 
 TOKENS = 1_020
-"""What one prompt of these callers counts for, its longest answer included."""
+"""Units of one request of these callers, including the longest response."""
 
 RATE = 10 * TOKENS
 WINDOW_S = 8.0
@@ -33,7 +33,7 @@
 
 
 class Tenants:
-    """Callers of tenants, each tenant so many requests a second, at any router."""
+    """Callers of several tenants, each with a fixed request rate, at random routers."""
 
     def __init__(self, deployment, per_s_of):
         self._deployment = deployment
@@ -77,14 +77,14 @@
 
 
 def most_in_window(deployment, name):
-    """Return the most tokens of a tenant that runners began to run within a window."""
+    """Return the most tokens of a tenant whose runs began within one window."""
     runs = [run for runner in deployment.runners for run in runner.runs]
     times = sorted(run.at for run in runs if run.request_id.startswith(f"{name}-"))
     return TOKENS * max(sum(at <= t <= at + WINDOW_S for t in times) for at in times)
 
 
 def trails(deployment, request_ids):
-    """Return what the routers logged of some requests."""
+    """Return the routers' log lines about some requests."""
     lines = [line for r in deployment.routers for line in r.log.read_text().splitlines()]
     return [line for line in lines if any(f'"{name}"' in line for name in request_ids)]
 
