--- a/scripts/measure_blame.py
+++ b/scripts/measure_blame.py
@@ -19,11 +19,11 @@
 from martenrun.identity.rendezvous import weight
 from martenrun.net.http import HttpRequest
 from martenrun.net.loop import Loop
-from martenrun.router.blame_table import BlameTable
-from martenrun.router.crash_watch import RunnerKnowledge
-from martenrun.router.fingerprint import fingerprint
+from martenrun.router.crash_detector import RunnerView
+from martenrun.router.crash_table import CrashTable
+from martenrun.router.crash_tracker import CrashTracker
+from martenrun.router.fingerprint import request_fingerprint
 from martenrun.router.messages import Admitted, Call, Route, RouteKind, Tenant, WeightedService
-from martenrun.router.suspects import Suspects
 
 AWAY_S = 2.0
 """How long a runner is away, in seconds."""
@@ -37,7 +37,7 @@
 
     def __init__(self, seed: int, runners: int, ends_per_s: float, run_s: float) -> None:
         self.rng = random.Random(seed)
-        self.table = BlameTable()
+        self.table = CrashTable()
         self.table.runners = runners
         self.now = 0.0
         self.lives = [0] * runners
@@ -60,13 +60,13 @@
 
     def send(self, key: bytes) -> None:
         """Run a request at a runner, unless it is held back."""
-        if self.table.held_for_s(key, self.now) > 0:
+        if self.table.blocked_for_s(key, self.now) > 0:
             self.shut_out.add(key)
             return
         living = self.living()
         if not living:
             return
-        if self.table.starts(key):
+        if self.table.crash_count(key):
             chosen = max(living, key=lambda n: weight(key, f"{n}"))
         else:
             chosen = self.rng.choice(living)
@@ -81,7 +81,7 @@
             at, run, chosen, life = heapq.heappop(self.events)
             if life == self.lives[chosen]:
                 key = self.running[chosen].pop(run)
-                self.table.note_whole(key, at)
+                self.table.record_completion(key, at)
                 self.tries.pop(key, None)
                 self.served += 1
 
@@ -97,7 +97,7 @@
         self.back_at[chosen] = self.now + AWAY_S
         lost, self.running[chosen] = self.running[chosen], {}
         for key in lost.values():
-            self.table.note_ended(key, start, self.now)
+            self.table.record_crash(key, start, self.now)
         for key in lost.values():
             self.tries[key] = self.tries.get(key, 1) + 1
             if again and self.tries[key] <= RUNS_OF_ONE:
@@ -118,7 +118,7 @@
             number = self.requests if bodies is None else self.rng.randrange(bodies)
             self.send(self.key(number))
             if self.requests % 2_000 == 0:
-                self.table.forget(self.now)
+                self.table.drop_expired(self.now)
 
 
 @click.group()
@@ -157,13 +157,13 @@
     click.echo("| known requests | of another outline, us | of its outline: digest made, us |")
     click.echo("| --- | --- | --- |")
     for known in (0, 10, 500):
-        suspects = Suspects(Loop(), _no_runners(), lambda _news: None)
+        suspects = CrashTracker(Loop(), _no_runners(), lambda _news: None)
         for number in range(known):
             key = number.to_bytes(8) + number.to_bytes(16)
-            suspects.table.note_ended(key, f"i-{number}", 0.0)
-        without_us = _each_us(partial(suspects.fingerprint, one, admitted), rounds)
-        suspects.table.note_ended(fingerprint(other, admitted), "i", 0.0)
-        with_us = _each_us(partial(suspects.fingerprint, one, admitted), rounds)
+            suspects.table.record_crash(key, f"i-{number}", 0.0)
+        without_us = _each_us(partial(suspects.known_fingerprint, one, admitted), rounds)
+        suspects.table.record_crash(request_fingerprint(other, admitted), "i", 0.0)
+        with_us = _each_us(partial(suspects.known_fingerprint, one, admitted), rounds)
         click.echo(f"| {known} | {without_us:.1f} | {with_us:.1f} |")
 
 
@@ -174,11 +174,11 @@
     return (time.process_time() - began_at) / rounds * 1e6
 
 
-def _no_runners() -> RunnerKnowledge:
-    return RunnerKnowledge(
+def _no_runners() -> RunnerView:
+    return RunnerView(
         is_listed=lambda _state: True,
-        has_ended=lambda _runner: False,
-        others_at=lambda _address: [],
+        has_restarted=lambda _runner: False,
+        instances_at=lambda _address: [],
         has_connection=lambda _instance: False,
         count=lambda: 8,
     )
--- a/src/martenrun/platform/contents.py
+++ b/src/martenrun/platform/contents.py
@@ -11,7 +11,7 @@
 
 from martenrun.net.server import ServerLimits
 from martenrun.platform.objects import FAULTS
-from martenrun.router.blame_messages import BlameRecord
+from martenrun.router.crash_messages import CrashRecord
 from martenrun.router.messages import (
     Configuration,
     EngineLimits,
@@ -322,11 +322,11 @@
     }
 
 
-def read_blame(stored: StoredObject) -> list[BlameRecord]:
+def read_blame(stored: StoredObject) -> list[CrashRecord]:
     """Translate what routers keep of requests that end runners; raises UnreadableError."""
     spec = _read(stored.spec, _Blame, "blame")
     return [
-        BlameRecord(
+        CrashRecord(
             bytes.fromhex(item.fingerprint),
             [(each.start, each.age_ms) for each in item.ended],
             item.whole_ms,
@@ -335,13 +335,13 @@
     ]
 
 
-def blame_spec(records: list[BlameRecord]) -> object:
+def blame_spec(records: list[CrashRecord]) -> object:
     """Return the content of the object that holds that."""
     requests = [
         {
             "fingerprint": record.fingerprint.hex(),
-            "ended": [{"start": start, "age_ms": age_ms} for start, age_ms in record.ended],
-            "whole_ms": record.whole_ms,
+            "ended": [{"start": start, "age_ms": age_ms} for start, age_ms in record.crashes],
+            "whole_ms": record.completed_ms,
         }
         for record in records
     ]
--- a/src/martenrun/router/crash_watch.py
+++ b/src/martenrun/router/crash_detector.py
@@ -26,63 +26,63 @@
 from martenrun.router.messages import Runner
 from martenrun.router.runner_state import RunnerState
 
-ANSWER_S = 0.4
+PROBE_TIMEOUT_S = 0.4
 """Timeout of a connection attempt, in seconds."""
 
-KEPT_S = 0.03
+MIN_OPEN_S = 0.03
 """How long an accepted connection must stay open to show that the runner is alive, in seconds."""
 
-CONFIRMED_S = 0.25
+CONFIRMATION_DELAY_S = 0.25
 """Delay before an accepted probe is repeated, in seconds."""
 
-PAUSES_S = (0.05, 0.1, 0.2, 0.4, 0.8)
+RETRY_DELAYS_S = (0.05, 0.1, 0.2, 0.4, 0.8)
 """Delays before an inconclusive probe is repeated, in seconds."""
 
-REMEMBERED_S = 8.0
+INVESTIGATION_S = 8.0
 """How long disconnects are kept while it is unknown whether the runner crashed, in seconds.
 
 The entry of a crashed instance is replaced about five seconds after the crash at the latest.
 """
 
 
-class Case:
+class Investigation:
     """The requests whose connections to a runner instance broke, and whether it crashed."""
 
     def __init__(self, runner: Runner, now: float) -> None:
         self.runner = runner
         self.began_at = now
-        self.has_ended = False
-        self.is_asking = False
-        self.probes = 0
+        self.has_crashed = False
+        self.is_probing = False
+        self.probe_count = 0
         self.was_accepted = False
         self.next_probe: Timer | None = None
-        self.runs: list[bytes] = []
-        self.waiting: list[Callable[[], None]] = []
+        self.fingerprints: list[bytes] = []
+        self.callbacks: list[Callable[[], None]] = []
 
 
-class Probe:
+class ConnectionProbe:
     """Opens a connection to check whether a process listens; see :class:`StreamOwner`.
 
     Args:
         on_result: called once with whether the connection was refused, None if inconclusive.
     """
 
-    def __init__(self, loop: Loop, address: str, on_answer: Callable[[bool | None], None]) -> None:
+    def __init__(self, loop: Loop, address: str, on_result: Callable[[bool | None], None]) -> None:
         self._loop = loop
-        self._on_answer = on_answer
+        self._on_result = on_result
         self._is_over = False
         self._stream: Stream | None = None
-        self._timer: Timer = loop.call_later(ANSWER_S, lambda: self._end(None))
+        self._timer: Timer = loop.call_later(PROBE_TIMEOUT_S, lambda: self._finish(None))
         try:
             self._stream = open_stream(loop, address, self)
         except OSError as exc:
             refused = exc.errno == errno.ECONNREFUSED or None
-            loop.call_later(0.0, lambda: self._end(refused))
+            loop.call_later(0.0, lambda: self._finish(refused))
 
     def on_connected(self) -> None:
         """Report the connection as accepted if it stays open."""
         self._timer.cancel()
-        self._timer = self._loop.call_later(KEPT_S, lambda: self._end(False))
+        self._timer = self._loop.call_later(MIN_OPEN_S, lambda: self._finish(False))
 
     def on_data(self, data: bytes) -> None:
         """Ignore received data."""
@@ -90,23 +90,23 @@
     def on_closed(self, is_clean: bool) -> None:
         """Report a refusal, or an inconclusive result if the connection was closed otherwise."""
         refused = self._stream is not None and self._stream.error == errno.ECONNREFUSED
-        self._end(True if refused else None)
+        self._finish(True if refused else None)
 
     def on_drained(self) -> None:
         """Do nothing: the probe sends no data."""
 
-    def _end(self, refused: bool | None) -> None:
+    def _finish(self, refused: bool | None) -> None:
         if self._is_over:
             return
         self._is_over = True
         self._timer.cancel()
         if self._stream is not None:
             self._stream.close()
-        self._on_answer(refused)
+        self._on_result(refused)
 
 
 @attrs.frozen
-class RunnerKnowledge:
+class RunnerView:
     """The required view of the runners.
 
     Attributes:
@@ -118,13 +118,13 @@
     """
 
     is_listed: Callable[[RunnerState], bool]
-    has_ended: Callable[[Runner], bool]
-    others_at: Callable[[str], list[str]]
+    has_restarted: Callable[[Runner], bool]
+    instances_at: Callable[[str], list[str]]
     has_connection: Callable[[str], bool]
     count: Callable[[], int]
 
 
-class CrashWatch:
+class CrashDetector:
     """Investigates the runner instances whose connections broke recently.
 
     Args:
@@ -135,114 +135,130 @@
     def __init__(
         self,
         loop: Loop,
-        runners: RunnerKnowledge,
-        on_ended: Callable[[str, list[bytes]], None],
-        probe: Callable[[Loop, str, Callable[[bool | None], None]], object] = Probe,
+        runners: RunnerView,
+        on_crashed: Callable[[str, list[bytes]], None],
+        probe: Callable[[Loop, str, Callable[[bool | None], None]], object] = ConnectionProbe,
     ) -> None:
         self._loop = loop
         self._runners = runners
-        self._on_ended = on_ended
+        self._on_crashed = on_crashed
         self._probe = probe
-        self._cases: dict[str, Case] = {}
+        self._investigations: dict[str, Investigation] = {}
 
-    def note_broken(self, state: RunnerState, run: bytes) -> None:
+    def handle_disconnect(self, state: RunnerState, fingerprint: bytes) -> None:
         """Handle a request whose connection closed before its response was complete."""
         runner = state.runner
         if runner.is_draining:
             return
-        if self._runners.has_ended(runner):
+        if self._runners.has_restarted(runner):
             # The entry of a later instance arrived before this connection broke.
-            self._on_ended(runner.instance, [run])
+            self._on_crashed(runner.instance, [fingerprint])
             return
         if not self._runners.is_listed(state):
             return
-        case = self._cases.get(runner.instance)
+        investigation = self._investigations.get(runner.instance)
         now = self._loop.now()
-        if case is None or (now - case.began_at > REMEMBERED_S and not case.has_ended):
-            case = self._cases[runner.instance] = Case(runner, now)
-        if case.has_ended:
-            self._on_ended(runner.instance, [run])
+        if investigation is None or (
+            now - investigation.began_at > INVESTIGATION_S and not investigation.has_crashed
+        ):
+            investigation = self._investigations[runner.instance] = Investigation(runner, now)
+        if investigation.has_crashed:
+            self._on_crashed(runner.instance, [fingerprint])
             return
-        case.runs.append(run)
-        if not case.is_asking and case.next_probe is None:
-            self._ask(case)
+        investigation.fingerprints.append(fingerprint)
+        if not investigation.is_probing and investigation.next_probe is None:
+            self._start_probe(investigation)
 
-    def when_known(self, instance: str, call: Callable[[], None]) -> None:
+    def call_when_resolved(self, instance: str, callback: Callable[[], None]) -> None:
         """Call back once it is known whether an instance crashed, or if that stays unknown."""
-        case = self._cases.get(instance)
-        if case is None or not case.is_asking:
-            call()
+        investigation = self._investigations.get(instance)
+        if investigation is None or not investigation.is_probing:
+            callback()
         else:
-            case.waiting.append(call)
+            investigation.callbacks.append(callback)
 
-    def look_again(self) -> None:
+    def check_replaced(self) -> None:
         """Check whether listed runners show that an investigated instance was replaced."""
         now = self._loop.now()
-        for instance, case in list(self._cases.items()):
-            if now - case.began_at > REMEMBERED_S:
-                del self._cases[instance]
-            elif not case.has_ended and case.runs and self._is_replaced(case.runner):
-                self._end(case)
+        for instance, investigation in list(self._investigations.items()):
+            if now - investigation.began_at > INVESTIGATION_S:
+                del self._investigations[instance]
+            elif (
+                not investigation.has_crashed
+                and investigation.fingerprints
+                and self._is_replaced(investigation.runner)
+            ):
+                self._confirm_crash(investigation)
 
     def _is_replaced(self, runner: Runner) -> bool:
-        if self._runners.has_ended(runner):
+        if self._runners.has_restarted(runner):
             return True
-        return any(other != runner.instance for other in self._runners.others_at(runner.address))
+        return any(other != runner.instance for other in self._runners.instances_at(runner.address))
 
-    def has_open_cases(self) -> bool:
+    def is_investigating(self) -> bool:
         """Whether any investigation is still in progress."""
-        return any(case.is_asking or case.next_probe is not None for case in self._cases.values())
+        return any(
+            investigation.is_probing or investigation.next_probe is not None
+            for investigation in self._investigations.values()
+        )
 
-    def _ask(self, case: Case) -> None:
-        case.is_asking = True
-        case.probes += 1
-        address = case.runner.address
-        self._probe(self._loop, address, lambda refused: self._answered(case, refused))
+    def _start_probe(self, investigation: Investigation) -> None:
+        investigation.is_probing = True
+        investigation.probe_count += 1
+        address = investigation.runner.address
+        self._probe(
+            self._loop, address, lambda refused: self._handle_result(investigation, refused)
+        )
 
-    def _ask_later(self, case: Case, pause_s: float) -> None:
-        case.next_probe = self._loop.call_later(pause_s, lambda: self._ask_again(case))
+    def _schedule_probe(self, investigation: Investigation, delay_s: float) -> None:
+        investigation.next_probe = self._loop.call_later(
+            delay_s, lambda: self._repeat_probe(investigation)
+        )
 
-    def _ask_again(self, case: Case) -> None:
-        case.next_probe = None
-        if self._cases.get(case.runner.instance) is case and not case.has_ended:
-            self._ask(case)
+    def _repeat_probe(self, investigation: Investigation) -> None:
+        investigation.next_probe = None
+        if (
+            self._investigations.get(investigation.runner.instance) is investigation
+            and not investigation.has_crashed
+        ):
+            self._start_probe(investigation)
 
-    def _answered(self, case: Case, refused: bool | None) -> None:
-        case.is_asking = False
+    def _handle_result(self, investigation: Investigation, refused: bool | None) -> None:
+        investigation.is_probing = False
         log_event(
             "runner_probed",
-            instance=case.runner.instance,
+            instance=investigation.runner.instance,
             answer={True: "refused", False: "accepted", None: "inconclusive"}[refused],
-            has_connection=self._runners.has_connection(case.runner.instance),
-            runs=len(case.runs),
+            has_connection=self._runners.has_connection(investigation.runner.instance),
+            runs=len(investigation.fingerprints),
         )
-        if case.has_ended:
+        if investigation.has_crashed:
             # The entry of a later instance proved the crash first.
             pass
-        elif refused and not self._runners.has_connection(case.runner.instance):
-            self._end(case)
-        elif refused is False and case.was_accepted:
+        elif refused and not self._runners.has_connection(investigation.runner.instance):
+            self._confirm_crash(investigation)
+        elif refused is False and investigation.was_accepted:
             # The runner is alive; only a connection broke.
-            self._cases.pop(case.runner.instance, None)
-        elif refused is False and case.probes == 1:
-            case.was_accepted = True
-            self._ask_later(case, CONFIRMED_S)
+            self._investigations.pop(investigation.runner.instance, None)
+        elif refused is False and investigation.probe_count == 1:
+            investigation.was_accepted = True
+            self._schedule_probe(investigation, CONFIRMATION_DELAY_S)
         elif refused is False:
             # A later instance may have accepted it; only its listed entry can prove the crash.
-            case.probes = len(PAUSES_S) + 1
-        elif case.probes <= len(PAUSES_S):
-            self._ask_later(case, PAUSES_S[case.probes - 1])
-        waiting, case.waiting = case.waiting, []
-        for call in waiting:
-            call()
-
-    def _end(self, case: Case) -> None:
-        case.has_ended = True
-        runs, case.runs = case.runs, []
+            investigation.probe_count = len(RETRY_DELAYS_S) + 1
+        elif investigation.probe_count <= len(RETRY_DELAYS_S):
+            self._schedule_probe(investigation, RETRY_DELAYS_S[investigation.probe_count - 1])
+        callbacks, investigation.callbacks = investigation.callbacks, []
+        for callback in callbacks:
+            callback()
+
+    def _confirm_crash(self, investigation: Investigation) -> None:
+        investigation.has_crashed = True
+        fingerprints, investigation.fingerprints = investigation.fingerprints, []
         log_trouble(
             "runner_ended_under_requests",
-            instance=case.runner.instance,
-            runs=len(runs),
-            fingerprints=" ".join(run.hex() for run in runs[:8]),
+            instance=investigation.runner.instance,
+            runs=len(fingerprints),
+            fingerprints=" ".join(fingerprint.hex() for fingerprint in fingerprints[:8]),
         )
-        self._on_ended(case.runner.instance, runs)
+        self._on_crashed(investigation.runner.instance, fingerprints)
--- a/src/martenrun/router/blame_messages.py
+++ b/src/martenrun/router/crash_messages.py
@@ -3,7 +3,7 @@
 import msgspec
 
 
-class BlameRecord(msgspec.Struct, array_like=True, frozen=True):
+class CrashRecord(msgspec.Struct, array_like=True, frozen=True):
     """The crash record of one request.
 
     Attributes:
@@ -13,11 +13,11 @@
     """
 
     fingerprint: bytes
-    ended: list[tuple[str, int]]
-    whole_ms: int | None = None
+    crashes: list[tuple[str, int]]
+    completed_ms: int | None = None
 
 
-class BlameNews(msgspec.Struct, array_like=True, tag="blame", frozen=True):
+class CrashUpdate(msgspec.Struct, array_like=True, tag="blame", frozen=True):
     """Some of the crash records of a router."""
 
-    records: list[BlameRecord]
+    records: list[CrashRecord]
--- a/src/martenrun/router/blame_page.py
+++ b/src/martenrun/router/crash_page.py
@@ -4,9 +4,9 @@
 
 from martenrun.net.http import STATUS_OK
 from martenrun.net.server import Exchange
-from martenrun.router.blame_table import BlamedRequest
+from martenrun.router.crash_table import CrashSummary
+from martenrun.router.crash_tracker import CrashTracker
 from martenrun.router.log import log_event
-from martenrun.router.suspects import Suspects
 
 BLAME_PATH = b"/blame"
 """GET lists the crash records; POST with a :class:`ClearRequest` clears one request."""
@@ -17,34 +17,34 @@
 STATUS_NOT_FOUND = 404
 
 
-class ClearQuestion(msgspec.Struct):
+class ClearRequest(msgspec.Struct):
     """Clears the request with the given hexadecimal fingerprint."""
 
     fingerprint: str
 
 
-class BlamePage(msgspec.Struct):
+class CrashPage(msgspec.Struct):
     """The crash records of one router."""
 
-    requests: list[BlamedRequest]
+    requests: list[CrashSummary]
 
 
-_QUESTION = msgspec.json.Decoder(ClearQuestion).decode
+_DECODE = msgspec.json.Decoder(ClearRequest).decode
 _ENCODE = msgspec.json.Encoder().encode
 
 
-def serve_blame(exchange: Exchange, suspects: Suspects) -> None:
+def serve_crash_records(exchange: Exchange, tracker: CrashTracker) -> None:
     """List the crash records, or clear one request at all routers."""
     if exchange.request.method == b"GET":
-        exchange.respond(STATUS_OK, JSON_TYPE, _ENCODE(BlamePage(suspects.list_blamed())))
+        exchange.respond(STATUS_OK, JSON_TYPE, _ENCODE(CrashPage(tracker.summaries())))
         return
     try:
-        run = bytes.fromhex(_QUESTION(exchange.request.body).fingerprint)
+        fingerprint = bytes.fromhex(_DECODE(exchange.request.body).fingerprint)
     except (msgspec.MsgspecError, ValueError):
         exchange.respond(STATUS_BAD_REQUEST, [])
         return
-    if not suspects.clear(run):
+    if not tracker.clear(fingerprint):
         exchange.respond(STATUS_NOT_FOUND, [])
         return
-    log_event("blame_cleared", fingerprint=run.hex())
+    log_event("blame_cleared", fingerprint=fingerprint.hex())
     exchange.respond(STATUS_OK, [])
--- /dev/null
+++ b/src/martenrun/router/crash_tracker.py
@@ -0,0 +1,184 @@
+"""Tracks requests that crash the runners serving them, and shares the crash records.
+
+New records are broadcast to all routers, and again until the store holds them.  A store reader
+writes them to the store, which all routers follow.  Routers that joined, restarted, were suspended
+or were cut off therefore receive them too, and a restart of all routers loses no records.
+"""
+
+import random
+from collections.abc import Callable
+
+from martenrun.net.http import HttpRequest
+from martenrun.net.loop import Loop
+from martenrun.router.crash_detector import ConnectionProbe, CrashDetector, RunnerView
+from martenrun.router.crash_messages import CrashRecord, CrashUpdate
+from martenrun.router.crash_table import CrashSummary, CrashTable
+from martenrun.router.fingerprint import fingerprint_prefix, request_fingerprint
+from martenrun.router.log import log_event, log_trouble
+from martenrun.router.messages import Admitted
+from martenrun.router.runner_state import RunnerState
+
+REBROADCAST_INTERVAL_S = 0.5
+"""How often records that the store does not hold yet are broadcast again, in seconds."""
+
+REBROADCAST_PERIOD_S = 30.0
+"""How long records are broadcast again, in seconds.
+
+During a longer outage of the store, other routers receive them when they join or when it ends.
+"""
+
+RECORDS_PER_DATAGRAM = 100
+"""Records per datagram, about 100 bytes each."""
+
+SENDERS_PER_JOINING_ROUTER = 8
+"""Approximate number of routers that send their records to a joining router."""
+
+
+class CrashTracker:
+    """The crash records of one router and the investigation of runner crashes.
+
+    Args:
+        broadcast: sends an update to all routers.
+        rng: decides whether this router sends its records to a joining router.
+    """
+
+    def __init__(
+        self,
+        loop: Loop,
+        runners: RunnerView,
+        broadcast: Callable[[CrashUpdate], None],
+        probe: Callable[[Loop, str, Callable[[bool | None], None]], object] = ConnectionProbe,
+        rng: random.Random | None = None,
+    ) -> None:
+        self._loop = loop
+        self._runners = runners
+        self._broadcast = broadcast
+        self._rng = rng or random.Random()
+        self._unstored: dict[bytes, float] = {}
+        self._sent_at = 0.0
+        self._blocked: set[bytes] = set()
+        self.table = CrashTable()
+        self.detector = CrashDetector(loop, runners, self._record_crashes, probe)
+        self.stored_records: list[CrashRecord] = []
+
+    # Requests
+
+    def known_fingerprint(self, request: HttpRequest, admitted: Admitted) -> bytes | None:
+        """Return the fingerprint of a request that has a crash record, else None."""
+        if not len(self.table) or not self.table.has_prefix(fingerprint_prefix(request, admitted)):
+            return None
+        found = request_fingerprint(request, admitted)
+        return found if self.table.has_record(found) else None
+
+    def blocked_for_s(self, fingerprint: bytes | None) -> float:
+        """Return the remaining block duration of a request in seconds; 0 if it is not blocked."""
+        return (
+            0.0 if fingerprint is None else self.table.blocked_for_s(fingerprint, self._loop.now())
+        )
+
+    def is_suspect(self, fingerprint: bytes | None) -> bool:
+        """Whether a request may have crashed a runner."""
+        return fingerprint is not None and self.table.crash_count(fingerprint) > 0
+
+    def handle_disconnect(
+        self, state: RunnerState, request: HttpRequest, admitted: Admitted
+    ) -> None:
+        """Handle a request whose connection closed before its response was complete."""
+        self.detector.handle_disconnect(state, request_fingerprint(request, admitted))
+
+    def record_restart(self, state: RunnerState, request: HttpRequest, admitted: Admitted) -> None:
+        """Record that a runner restarted while serving a request."""
+        if not state.runner.is_draining:
+            self._record_crashes(state.runner.instance, [request_fingerprint(request, admitted)])
+
+    def summaries(self) -> list[CrashSummary]:
+        """Return the crash records as shown to operators."""
+        return self.table.summaries(self._loop.now())
+
+    def clear(self, fingerprint: bytes) -> bool:
+        """Clear a request on behalf of an operator; return whether it has a crash record."""
+        if not self.table.has_record(fingerprint):
+            return False
+        self.record_completion(fingerprint)
+        return True
+
+    def record_completion(self, fingerprint: bytes | None) -> None:
+        """Record that a request completed at a runner."""
+        if fingerprint is not None and self.table.record_completion(fingerprint, self._loop.now()):
+            self._broadcast_new({fingerprint})
+
+    # Other routers and the store
+
+    def handle_update(self, update: CrashUpdate) -> None:
+        """Merge the records sent by another router."""
+        self.table.merge(update.records, self._loop.now())
+        self._log_blocked()
+
+    def merge_stored(self, records: list[CrashRecord]) -> None:
+        """Merge the records held by the store."""
+        self.stored_records = records
+        self.table.merge(records, self._loop.now())
+        self._log_blocked()
+
+    def missing_from_store(self) -> set[bytes]:
+        """Return the requests whose records here contain more than the store's."""
+        return self.table.missing_from(self.stored_records) if len(self.table) else set()
+
+    def update_for_joining_router(self, routers: int) -> CrashUpdate | None:
+        """Return the records for a joining router; among many routers only a few send them."""
+        if not len(self.table) or self._rng.random() > SENDERS_PER_JOINING_ROUTER / max(1, routers):
+            return None
+        records = self.table.records(self._loop.now())
+        return CrashUpdate(records[:RECORDS_PER_DATAGRAM])
+
+    def run_maintenance(self) -> None:
+        """Broadcast records that may not have arrived, and drop expired ones."""
+        now = self._loop.now()
+        self.table.runners = self._runners.count()
+        self.table.drop_expired(now)
+        self._log_blocked()
+        if not self._unstored or now - self._sent_at < REBROADCAST_INTERVAL_S:
+            return
+        missing = self.missing_from_store()
+        self._unstored = {
+            fingerprint: since
+            for fingerprint, since in self._unstored.items()
+            if fingerprint in missing and now - since < REBROADCAST_PERIOD_S
+        }
+        if self._unstored:
+            self._broadcast_records(set(self._unstored))
+
+    def _record_crashes(self, instance: str, fingerprints: list[bytes]) -> None:
+        now = self._loop.now()
+        new = {
+            fingerprint
+            for fingerprint in fingerprints
+            if self.table.record_crash(fingerprint, instance, now)
+        }
+        if new:
+            self._broadcast_new(new)
+            self._log_blocked()
+
+    def _broadcast_new(self, fingerprints: set[bytes]) -> None:
+        now = self._loop.now()
+        self._unstored.update(dict.fromkeys(fingerprints, now))
+        self._broadcast_records(fingerprints)
+
+    def _broadcast_records(self, fingerprints: set[bytes]) -> None:
+        self._sent_at = self._loop.now()
+        records = self.table.records(self._sent_at, fingerprints)
+        for first in range(0, len(records), RECORDS_PER_DATAGRAM):
+            self._broadcast(CrashUpdate(records[first : first + RECORDS_PER_DATAGRAM]))
+
+    def _log_blocked(self) -> None:
+        """Log which requests have been blocked or unblocked since the last call."""
+        blocked = set(self.table.blocked(self._loop.now())) if len(self.table) else set()
+        for fingerprint in blocked - self._blocked:
+            log_trouble(
+                "request_held_back",
+                fingerprint=fingerprint.hex(),
+                starts=self.table.crash_count(fingerprint),
+            )
+        for fingerprint in self._blocked - blocked:
+            log_event("request_let_go", fingerprint=fingerprint.hex())
+        self._blocked = blocked
--- a/src/martenrun/router/dialect.py
+++ b/src/martenrun/router/dialect.py
@@ -9,7 +9,7 @@
 import attrs
 
 from martenrun.net.http import Headers, HttpRequest
-from martenrun.router.blame_messages import BlameRecord
+from martenrun.router.crash_messages import CrashRecord
 from martenrun.router.messages import (
     AnswerMarks,
     Call,
@@ -90,8 +90,8 @@
     read_runner: Callable[[StoredObject], Runner]
     read_weights: Callable[[StoredObject], WantedWeights]
     read_lease: Callable[[StoredObject], LeaseRecord]
-    read_blame: Callable[[StoredObject], list[BlameRecord]]
-    blame_spec: Callable[[list[BlameRecord]], object]
+    read_blame: Callable[[StoredObject], list[CrashRecord]]
+    blame_spec: Callable[[list[CrashRecord]], object]
     read_contacts: Callable[[StoredObject], list[str]]
     contacts_spec: Callable[[Sequence[str]], object]
     lease_spec: Callable[[LeaseRecord], object]
--- a/src/martenrun/router/figures.py
+++ b/src/martenrun/router/figures.py
@@ -49,6 +49,6 @@
         Sample("store_lost", sources.keeper.has_lost_store),
         Sample("lease_held", sources.lease.is_held()),
         Sample("requests_blamed", len(blame)),
-        Sample("requests_held_back", len(blame.held(now))),
+        Sample("requests_held_back", len(blame.blocked(now))),
         Sample("quota_accounts", 0 if world.quotas is None else len(world.quotas)),
     ]
--- a/src/martenrun/router/fingerprint.py
+++ b/src/martenrun/router/fingerprint.py
@@ -10,7 +10,7 @@
 from martenrun.net.http import HttpRequest
 from martenrun.router.messages import Admitted
 
-OUTLINE_BYTES = 8
+PREFIX_BYTES = 8
 """Length of a fingerprint's prefix: the caller's checksum and a checksum of the request's head."""
 
 CALLER_BYTES = 4
@@ -19,7 +19,7 @@
 """Length of the digest: 128 bits make collisions negligible."""
 
 
-def outline(request: HttpRequest, admitted: Admitted) -> bytes:
+def fingerprint_prefix(request: HttpRequest, admitted: Admitted) -> bytes:
     """Return the prefix of a request's fingerprint, which does not depend on the body's content."""
     tenant = admitted.tenant
     caller = b"" if tenant is None else tenant.name.encode()
@@ -30,12 +30,12 @@
         request.target,
         len(request.body),
     )
-    return tag.to_bytes(CALLER_BYTES) + zlib.crc32(head, tag).to_bytes(OUTLINE_BYTES - CALLER_BYTES)
+    return tag.to_bytes(CALLER_BYTES) + zlib.crc32(head, tag).to_bytes(PREFIX_BYTES - CALLER_BYTES)
 
 
-def fingerprint(request: HttpRequest, admitted: Admitted) -> bytes:
+def request_fingerprint(request: HttpRequest, admitted: Admitted) -> bytes:
     """Return the fingerprint of a request, which is equal for repetitions of the same request."""
-    start = outline(request, admitted)
+    start = fingerprint_prefix(request, admitted)
     digest = hashlib.blake2b(start, digest_size=DIGEST_BYTES)
     digest.update(b"%b %b\0" % (request.method, request.target))
     digest.update(request.body)
--- a/src/martenrun/router/forwarding.py
+++ b/src/martenrun/router/forwarding.py
@@ -92,9 +92,9 @@
             self._take_up()
         else:
             # What is over its tenant's limit takes no part in the demand that others wait behind.
-            reason = "over_limit" if grant.is_sure else "limit_unsure"
-            status = STATUS_TOO_MANY if grant.is_sure else STATUS_UNAVAILABLE
-            self._refuse(reason, grant.wait_s if grant.is_sure else 0.0, status)
+            reason = "over_limit" if grant.is_conclusive else "limit_unsure"
+            status = STATUS_TOO_MANY if grant.is_conclusive else STATUS_UNAVAILABLE
+            self._refuse(reason, grant.wait_s if grant.is_conclusive else 0.0, status)
 
     def _take_up(self) -> None:
         self._choice.note_asked()
@@ -158,7 +158,7 @@
             self._choice.note_taken()
         self._choice.tried.append(state.runner.instance)
         self._sent_to.append(state.runner.instance)
-        self._quota.note_sent()
+        self._quota.record_sent()
         request = self._exchange.request
         placement = world.placement
         question = self._choice.question()
@@ -202,14 +202,14 @@
         if self._stream.has_rest:
             self.on_failure(Failure.BROKEN, attempt)
             return
-        self._world.suspects.note_whole(self._choice.known_fingerprint())
+        self._world.suspects.record_completion(self._choice.known_fingerprint())
         self._stream.begin(attempt)
         self._exchange.end()
         self._end("served", attempt)
 
     def on_whole(self, attempt: Attempt) -> None:
         """A buffered answer is whole."""
-        self._world.suspects.note_whole(self._choice.known_fingerprint())
+        self._world.suspects.record_completion(self._choice.known_fingerprint())
         if attempt.status >= STATUS_SERVER_ERROR and self._admitted.route.may_repeat:
             self.on_failure(Failure.RUN_FAILED, attempt)
         else:
@@ -229,17 +229,17 @@
         self._attempt = None
         may_have_run = failure in (Failure.BROKEN, Failure.RUN_FAILED)
         self._runs += may_have_run
-        self._quota.note_failed(may_have_run)
+        self._quota.record_failure(may_have_run)
         self._stream.restart()
         if not attempt.was_cut_off:
             self._go_on(failure, attempt)
             return
         suspects = self._world.suspects
-        suspects.note_broken(attempt.state, self._exchange.request, self._admitted)
+        suspects.handle_disconnect(attempt.state, self._exchange.request, self._admitted)
         if self._admitted.route.may_repeat:
             # Milliseconds later it is known whether the runner has ended under this request.
             instance = attempt.state.runner.instance
-            suspects.watch.when_known(instance, lambda: self._go_on(failure, attempt))
+            suspects.detector.call_when_resolved(instance, lambda: self._go_on(failure, attempt))
         else:
             self._go_on(failure, attempt)
 
@@ -356,7 +356,7 @@
         if attempt is not None and self._world.runners.has_ended(attempt.state.runner):
             attempt.cancel()
             request = self._exchange.request
-            self._world.suspects.note_left(attempt.state, request, self._admitted)
+            self._world.suspects.record_restart(attempt.state, request, self._admitted)
             self.on_failure(Failure.BROKEN, attempt)
 
     def shut_down(self) -> None:
@@ -367,7 +367,7 @@
         if self.is_over:
             return
         self.is_over = True
-        grant = self._quota.last
+        grant = self._quota.last_grant
         self._quota.close()
         self._access.close()
         self._timer.cancel()
--- a/src/martenrun/router/internal_interface.py
+++ b/src/martenrun/router/internal_interface.py
@@ -5,12 +5,12 @@
 
 from martenrun.net.http import STATUS_OK
 from martenrun.net.server import Exchange
-from martenrun.router.blame_page import BLAME_PATH, serve_blame
+from martenrun.router.crash_page import BLAME_PATH, serve_crash_records
+from martenrun.router.crash_tracker import CrashTracker
 from martenrun.router.metrics import Metrics
 from martenrun.router.quotas.gate import QuotaGate
 from martenrun.router.quotas.page import QUOTAS_PATH, serve_quotas
 from martenrun.router.relay import RelaySource
-from martenrun.router.suspects import Suspects
 
 METRICS_PATH = b"/metrics"
 """Path of the figures."""
@@ -20,7 +20,7 @@
     """Serves figures, requests held back, tenants' accounts, and the knowledge of the store."""
 
     def __init__(
-        self, metrics: Metrics, suspects: Suspects, quotas: QuotaGate, relay: RelaySource
+        self, metrics: Metrics, suspects: CrashTracker, quotas: QuotaGate, relay: RelaySource
     ) -> None:
         self._metrics = metrics
         self._suspects = suspects
@@ -34,7 +34,7 @@
             content = [(b"Content-Type", b"text/plain")]
             exchange.respond(STATUS_OK, content, self._metrics.text())
         elif target == BLAME_PATH:
-            serve_blame(exchange, self._suspects)
+            serve_crash_records(exchange, self._suspects)
         elif target == QUOTAS_PATH:
             serve_quotas(exchange, self._quotas)
         else:
--- a/src/martenrun/router/knowledge_feed.py
+++ b/src/martenrun/router/knowledge_feed.py
@@ -75,7 +75,7 @@
         if records is None:
             self._count_unreadable(Dataset.BLAME)
         else:
-            self._world.suspects.take_stored(records)
+            self._world.suspects.merge_stored(records)
 
     def _count_unreadable(self, dataset: Dataset) -> None:
         self._metrics.count("objects_unreadable", dataset=dataset.value)
--- a/src/martenrun/router/news.py
+++ b/src/martenrun/router/news.py
@@ -2,7 +2,7 @@
 
 from collections.abc import Sequence
 
-from martenrun.router.blame_messages import BlameNews
+from martenrun.router.crash_messages import CrashUpdate
 from martenrun.router.limit_messages import LimitNews
 from martenrun.router.peer_messages import LeaseNews, SilenceNews
 from martenrun.router.peers import News
@@ -19,8 +19,8 @@
         roller.take_release(news)
     elif isinstance(news, SilenceNews):
         take_silence(world, news, now)
-    elif isinstance(news, BlameNews):
-        world.suspects.take(news)
+    elif isinstance(news, CrashUpdate):
+        world.suspects.handle_update(news)
     elif isinstance(news, LimitNews):
         world.runner_limits.take(news, now)
     else:
@@ -33,6 +33,6 @@
     Args:
         routers: the number of known routers.
     """
-    blame = world.suspects.newcomer_news(routers)
+    blame = world.suspects.update_for_joining_router(routers)
     limits = world.runner_limits.newcomer_news(world.loop.now())
     return [news for news in (blame, limits) if news is not None]
--- a/src/martenrun/router/peer_messages.py
+++ b/src/martenrun/router/peer_messages.py
@@ -5,16 +5,16 @@
 import msgspec
 
 from martenrun.identity.rendezvous import weight
-from martenrun.router.blame_messages import BlameNews
+from martenrun.router.crash_messages import CrashUpdate
 from martenrun.router.limit_messages import LimitNews
 from martenrun.router.quotas.messages import (
     QuotaAck,
-    QuotaAnswer,
-    QuotaAsk,
-    QuotaMemory,
-    QuotaRecall,
+    QuotaRequest,
+    QuotaResponse,
     QuotaStage,
     QuotaUse,
+    RecallRequest,
+    RecallResponse,
 )
 
 
@@ -154,14 +154,14 @@
     | SilenceNews
     | ReadingNews
     | ZoneLoads
-    | BlameNews
+    | CrashUpdate
     | LimitNews
-    | QuotaAsk
-    | QuotaAnswer
+    | QuotaRequest
+    | QuotaResponse
     | QuotaUse
     | QuotaAck
-    | QuotaRecall
-    | QuotaMemory
+    | RecallRequest
+    | RecallResponse
 )
 
 decode: Callable[[bytes], Message] = msgspec.msgpack.Decoder(Message).decode
--- a/src/martenrun/router/peers.py
+++ b/src/martenrun/router/peers.py
@@ -14,7 +14,7 @@
 import msgspec
 
 from martenrun.net.loop import READ, Loop
-from martenrun.router.blame_messages import BlameNews
+from martenrun.router.crash_messages import CrashUpdate
 from martenrun.router.limit_messages import LimitNews
 from martenrun.router.log import log_trouble
 from martenrun.router.peer_messages import (
@@ -71,7 +71,7 @@
 
 LONGEST_DATAGRAM = 60_000
 
-News = WeightsNews | LeaseNews | SilenceNews | BlameNews | LimitNews
+News = WeightsNews | LeaseNews | SilenceNews | CrashUpdate | LimitNews
 """What is told to all routers at once."""
 
 DATAGRAMS_PER_ROUND = 64
--- a/src/martenrun/router/process.py
+++ b/src/martenrun/router/process.py
@@ -7,9 +7,10 @@
 from martenrun.net.loop import Loop
 from martenrun.net.server import Exchange, Server
 from martenrun.router.admission import Admission, Refusal, refuse
-from martenrun.router.blame_store import BlameStore
 from martenrun.router.contacts import ContactDirectory
-from martenrun.router.crash_watch import RunnerKnowledge
+from martenrun.router.crash_detector import RunnerView
+from martenrun.router.crash_record_writer import CrashRecordWriter
+from martenrun.router.crash_tracker import CrashTracker
 from martenrun.router.decisions import DEFAULTS, Decisions, load_decisions
 from martenrun.router.denials import Denials
 from martenrun.router.dialect import Dialect, SettingsSource
@@ -41,7 +42,6 @@
 from martenrun.router.settings import RouterSettings
 from martenrun.router.silence import newly_silent, take_silence
 from martenrun.router.store_client import HttpCaller
-from martenrun.router.suspects import Suspects
 from martenrun.router.weights_roll import WeightsRoller
 from martenrun.router.world import World
 
@@ -80,7 +80,7 @@
             weights=WeightsKnowledge(),
             pool=RunnerPool(self._loop),
             placement=Placement(decisions.placement),
-            suspects=Suspects(
+            suspects=CrashTracker(
                 self._loop, self._runner_knowledge(), lambda news: self._peers.tell_all(news)
             ),
             decisions=decisions,
@@ -122,7 +122,7 @@
             lambda instance: self._loads.take_reading(instance),
             lambda sums: self._loads.take_sums(sums),
             lambda routers: newcomer_news(self._world, routers),
-            lambda message: self._quotas.take(message),
+            lambda message: self._quotas.handle_message(message),
         )
         self._quotas = self._world.quotas = self._quota_gate(settings)
         self._loads = LoadExchange(self._world.pool, self._peers)
@@ -145,7 +145,7 @@
             ),
             self._feed.confirm,
         )
-        self._blame_store = BlameStore(
+        self._blame_store = CrashRecordWriter(
             self._loop,
             self._store,
             dialect,
@@ -210,12 +210,12 @@
             0.0 if settings.is_first_start else settings.bounds.budget_window_s
         )
 
-    def _runner_knowledge(self) -> RunnerKnowledge:
+    def _runner_knowledge(self) -> RunnerView:
         """Return what the watch for runners that end asks of the parts made after it."""
-        return RunnerKnowledge(
+        return RunnerView(
             is_listed=lambda state: self._world.pool.state(state.runner.instance) is state,
-            has_ended=lambda runner: self._world.runners.has_ended(runner),
-            others_at=lambda address: self._world.runners.listed_at(address),
+            has_restarted=lambda runner: self._world.runners.has_ended(runner),
+            instances_at=lambda address: self._world.runners.listed_at(address),
             has_connection=lambda instance: self._world.pool.has_kept(instance),
             count=lambda: len(self._world.runners.runners),
         )
@@ -247,7 +247,7 @@
     def _on_runners_settled(self) -> None:
         self._world.pool.update(self._world.runners.runners)
         self._world.runner_limits.forget_unlisted(self._world.runners.runners, self._loop.now())
-        self._world.suspects.watch.look_again()
+        self._world.suspects.detector.check_replaced()
         self._roller.check()
 
     # Peers
@@ -358,10 +358,10 @@
             news = SilenceNews(self._peers.own.address, instance)
             take_silence(self._world, news, now)
             self._peers.tell_all(news)
-        self._world.suspects.keep_house()
+        self._world.suspects.run_maintenance()
         self._world.runner_limits.tell_again(now)
-        self._blame_store.check()
-        self._quotas.keep_house()
+        self._blame_store.write_if_due()
+        self._quotas.run_maintenance()
         self._roller.check()
         if self._source.stamp() != self._stamp:
             self._reload()
@@ -379,7 +379,7 @@
         elif now > stop.lingers_until:
             self._front.end_idle()
             is_idle = not self._forwardings and self._front.connections == 0
-            if is_idle and not self._world.suspects.watch.has_open_cases():
+            if is_idle and not self._world.suspects.detector.is_investigating():
                 self._loop.stop()
 
 
--- a/src/martenrun/router/quotas/account.py
+++ b/src/martenrun/router/quotas/account.py
@@ -14,7 +14,7 @@
 from martenrun.router.quotas.limit import QuotaBounds
 from martenrun.router.quotas.messages import VersionedLimit
 
-SPARE_SHARE = 1 / 8
+EXTRA_BURST_SHARE = 1 / 8
 """Fraction of the fixed slack that is added to the burst, and that an account may overdraw.
 
 The larger bucket admits requests that arrive closer together than they were sent.  The overdraft
@@ -22,11 +22,11 @@
 ones.
 """
 
-RESTARTED_SHARE = 3 / 16
+RESTART_BALANCE_SHARE = 3 / 16
 """Fraction of the slack that an account starts with when its earlier grants are lost.
 
 A small balance is left because callers reconnect at once after a restart.  A tenant that had used
-up its limit gains this much beyond it each time all routers that knew of its grants are gone.
+up its limit gains this much beyond it each time all routers that knew of its grants restart.
 """
 
 MAJORITY_SHARE = 0.5
@@ -36,7 +36,7 @@
 them would exceed the sum of the shares.
 """
 
-MINIMUM_UNITS_PER_S = 1e-6
+MIN_UNITS_PER_S = 1e-6
 """Lower bound of the refill rate, which keeps every wait finite."""
 
 
@@ -54,7 +54,7 @@
 
 
 @attrs.frozen
-class Part:
+class LimitShare:
     """The share of a limit that one account may grant.
 
     Attributes:
@@ -62,12 +62,12 @@
         rate_factor: additional factor of the rate only; the burst is unaffected.
     """
 
-    share: float = 1.0
-    pace: float = 1.0
+    fraction: float = 1.0
+    rate_factor: float = 1.0
 
 
 @attrs.frozen
-class Verdict:
+class QuotaDecision:
     """Whether units were granted, and otherwise the delay before the caller should retry.
 
     Attributes:
@@ -88,7 +88,7 @@
     """All grants of the last window are known: the full burst minus those grants."""
 
     RESTARTED = "restarted"
-    """The routers that knew of earlier grants are gone: the burst counts as used."""
+    """The routers that knew of earlier grants have stopped: the burst counts as used."""
 
     SUBSTITUTE = "substitute"
     """The owners may still be granting elsewhere: the burst counts as used, less is left."""
@@ -101,7 +101,7 @@
     """The remaining units of one tenant or runner.
 
     Args:
-        part: the share of the limit that this account may grant.
+        share: the share of the limit that this account may grant.
 
     Attributes:
         covered_since: monotonic time since which every grant is counted, in seconds.
@@ -112,26 +112,30 @@
         self,
         limit: VersionedLimit,
         bounds: QuotaBounds,
-        beginning: InitialBalance,
-        part: Part,
+        initial_balance: InitialBalance,
+        share: LimitShare,
         now: float,
     ) -> None:
         self._limit = limit
         self._bounds = bounds
-        self._part = part
-        self._bucket = TokenBucket(*self._figures(), now)
-        if beginning in (InitialBalance.RESTARTED, InitialBalance.SUBSTITUTE):
-            is_restarted = beginning is InitialBalance.RESTARTED
-            left = self._slack * RESTARTED_SHARE if is_restarted else self._spare_units
-            self._bucket.take(max(0.0, self._bucket.burst - left), now)
+        self._share = share
+        self._bucket = TokenBucket(*self._bucket_parameters(), now)
+        if initial_balance in (InitialBalance.RESTARTED, InitialBalance.SUBSTITUTE):
+            is_restarted = initial_balance is InitialBalance.RESTARTED
+            remaining = (
+                self._slack * RESTART_BALANCE_SHARE if is_restarted else self._extra_burst_units
+            )
+            self._bucket.take(max(0.0, self._bucket.burst - remaining), now)
         self._grants: collections.OrderedDict[GrantKey, tuple[int, float]] = (
             collections.OrderedDict()
         )
-        self._promised_until = now
-        self.covered_since = now if beginning is not InitialBalance.FULL else -math.inf
+        self._retries_scheduled_until = now
+        self.covered_since = now if initial_balance is not InitialBalance.FULL else -math.inf
         self.used_at = now
 
-    def adopt(self, balance: float, uses: Sequence[PastUse], covered_since: float) -> None:
+    def restore_balance(
+        self, balance: float, uses: Sequence[PastUse], covered_since: float
+    ) -> None:
         """Continue from another account's balance, which already includes the given uses.
 
         Args:
@@ -140,14 +144,14 @@
         now = self.used_at
         self._bucket.take(self._bucket.level(now) - balance, now)
         for use in sorted(uses, key=lambda use: use.at):
-            self.remember(use)
+            self.register_counted_use(use)
         self.covered_since = covered_since
 
-    def lower_to(self, balance: float, now: float) -> None:
+    def cap_balance(self, balance: float, now: float) -> None:
         """Reduce the balance to the given one if that is lower."""
         self._bucket.take(max(0.0, self._bucket.level(now) - balance), now)
 
-    def remember(self, use: PastUse) -> None:
+    def register_counted_use(self, use: PastUse) -> None:
         """Register a use that the balance already includes."""
         self._grants[use.key] = (use.units, use.at)
 
@@ -157,7 +161,7 @@
 
     def recent_uses(self, now: float) -> list[PastUse]:
         """Return the uses within the last window."""
-        self._forget_grants(now)
+        self._drop_expired_grants(now)
         return [PastUse(key, units, at) for key, (units, at) in self._grants.items()]
 
     @property
@@ -169,74 +173,76 @@
         """Return the remaining units; negative if the account is overdrawn."""
         return self._bucket.level(now)
 
-    def learn(self, limit: VersionedLimit, bounds: QuotaBounds, part: Part, now: float) -> None:
+    def update_limit(
+        self, limit: VersionedLimit, bounds: QuotaBounds, share: LimitShare, now: float
+    ) -> None:
         """Apply the limit of a newer configuration and the share of it that may be granted."""
         newest = limit if limit.configuration > self._limit.configuration else self._limit
-        if (newest, bounds, part) == (self._limit, self._bounds, self._part):
+        if (newest, bounds, share) == (self._limit, self._bounds, self._share):
             return
         added = newest.burst_units - self._limit.burst_units
-        self._limit, self._bounds, self._part = newest, bounds, part
-        self._bucket.change_rate(*self._figures(), now)
+        self._limit, self._bounds, self._share = newest, bounds, share
+        self._bucket.change_rate(*self._bucket_parameters(), now)
         if added > 0:
             # Units that a raised limit adds to the burst are available immediately.
-            self._bucket.take(-added * part.share, now)
+            self._bucket.take(-added * share.fraction, now)
 
-    def ask(self, grant: GrantKey, units: int, now: float) -> Verdict | None:
+    def request(self, grant: GrantKey, units: int, now: float) -> QuotaDecision | None:
         """Grant units if they are available; return None if the requester returned this grant."""
         self.used_at = now
         known = self._grants.get(grant)
         if known is not None:
-            return Verdict(True) if known[0] else None
-        needed = max(0.0, units - self._spare_units)
+            return QuotaDecision(True) if known[0] else None
+        needed = max(0.0, units - self._extra_burst_units)
         wait_s = self._bucket.wait_s(needed, now)
-        is_too_large = needed > self._bucket.burst and self._part.share < MAJORITY_SHARE
+        is_too_large = needed > self._bucket.burst and self._share.fraction < MAJORITY_SHARE
         if wait_s > 0 or is_too_large:
-            return Verdict(False, self._turn_s(units, wait_s, now))
-        self.note_use(grant, units, now)
-        return Verdict(True)
+            return QuotaDecision(False, self._retry_delay_s(units, wait_s, now))
+        self.record_use(grant, units, now)
+        return QuotaDecision(True)
 
-    def note_use(self, grant: GrantKey, units: int, now: float) -> None:
+    def record_use(self, grant: GrantKey, units: int, now: float) -> None:
         """Set the units used by a grant; repeated reports of the same use count once."""
         self.used_at = now
-        self._forget_grants(now)
-        before, _ = self._grants.pop(grant, (0, now))
+        self._drop_expired_grants(now)
+        previous, _ = self._grants.pop(grant, (0, now))
         self._grants[grant] = (units, now)
-        self._bucket.take(float(self._bounded(units) - self._bounded(before)), now)
+        self._bucket.take(float(self._capped_units(units) - self._capped_units(previous)), now)
 
-    def _figures(self) -> tuple[float, float]:
+    def _bucket_parameters(self) -> tuple[float, float]:
         """Return the refill rate and the capacity of the bucket."""
-        per_s = self._limit.units_per_s * self._part.share * self._part.pace
-        held = self._limit.burst_units * self._part.share + self._spare_units
-        return max(MINIMUM_UNITS_PER_S, per_s), held
+        per_s = self._limit.units_per_s * self._share.fraction * self._share.rate_factor
+        capacity = self._limit.burst_units * self._share.fraction + self._extra_burst_units
+        return max(MIN_UNITS_PER_S, per_s), capacity
 
     @property
     def _slack(self) -> float:
         """The units above the limit that this account may grant within a window."""
         limit = self._limit
-        return self._bounds.slack(limit.units_per_s, limit.burst_units) * self._part.share
+        return self._bounds.slack(limit.units_per_s, limit.burst_units) * self._share.fraction
 
     @property
-    def _spare_units(self) -> float:
+    def _extra_burst_units(self) -> float:
         """The units added to the burst, which is also the overdraft limit."""
-        return self._bounds.slack_units * self._part.share * SPARE_SHARE
+        return self._bounds.slack_units * self._share.fraction * EXTRA_BURST_SHARE
 
-    def _bounded(self, units: int) -> int:
+    def _capped_units(self, units: int) -> int:
         """Cap units at one window's allowance, so that no request blocks an account for longer."""
         limit = self._limit
-        most = self._bounds.window_units(limit.units_per_s, limit.burst_units)
-        return int(min(units, most + 1))
+        allowance = self._bounds.window_units(limit.units_per_s, limit.burst_units)
+        return int(min(units, allowance + 1))
 
-    def _turn_s(self, units: int, wait_s: float, now: float) -> float:
+    def _retry_delay_s(self, units: int, wait_s: float, now: float) -> float:
         """Return the delay before a refused request should be retried.
 
         Retries are scheduled one after the other, in the order of the refusals.
         """
-        turn_at = max(now + wait_s, self._promised_until)
-        after_it = turn_at + self._bounded(units) / self._bucket.rate
-        self._promised_until = min(after_it, now + self._bounds.window_s)
-        return turn_at - now
+        retry_at = max(now + wait_s, self._retries_scheduled_until)
+        next_retry_at = retry_at + self._capped_units(units) / self._bucket.rate
+        self._retries_scheduled_until = min(next_retry_at, now + self._bounds.window_s)
+        return retry_at - now
 
-    def _forget_grants(self, now: float) -> None:
+    def _drop_expired_grants(self, now: float) -> None:
         while self._grants:
             grant, (_, at) = next(iter(self._grants.items()))
             if now - at <= self._bounds.window_s:
--- a/src/martenrun/router/quotas/gate.py
+++ b/src/martenrun/router/quotas/gate.py
@@ -19,21 +19,21 @@
     MAJORITY_SHARE,
     Account,
     InitialBalance,
-    Part,
+    LimitShare,
     PastUse,
-    Verdict,
+    QuotaDecision,
 )
 from martenrun.router.quotas.ledger import AccountView, Ledger
 from martenrun.router.quotas.limit import QuotaBounds, RateLimit
 from martenrun.router.quotas.messages import (
     QuotaAck,
-    QuotaAnswer,
-    QuotaAsk,
-    QuotaMemory,
     QuotaMessage,
-    QuotaRecall,
+    QuotaRequest,
+    QuotaResponse,
     QuotaStage,
     QuotaUse,
+    RecallRequest,
+    RecallResponse,
     VersionedLimit,
 )
 from martenrun.router.quotas.owners import AccountOwners
@@ -41,22 +41,22 @@
 from martenrun.router.quotas.service import AccountService, QuotaPeers
 from martenrun.router.settings import RouterSettings
 
-ANSWER_TIMEOUT_S = 0.06
+RESPONSE_TIMEOUT_S = 0.06
 """Time after which the next owner is asked, in seconds."""
 
 SUSPECTED_FOR_S = 1.0
 """How long a router that has not responded is asked last, in seconds."""
 
-START_UP_S = 4.0
+STARTUP_S = 4.0
 """Time after startup before a router selects owners by its own membership view, in seconds."""
 
-PAUSE_S = 1.0
+SUSPENSION_THRESHOLD_S = 1.0
 """Gap between two clock checks that means that the process was suspended, in seconds."""
 
-ALONE_SHARE = 0.5
+ISOLATED_SHARE = 0.5
 """Fraction of its even share of a limit that an isolated router grants."""
 
-UNKNOWN_ROUTERS = 100
+ASSUMED_ROUTERS = 100
 """Number of routers assumed by a router that is starting and reaches no other."""
 
 
@@ -81,32 +81,32 @@
     timer: Timer | None = None
     is_decided: bool = False
     is_granted: bool = False
-    is_alone: bool = False
-    is_sure: bool = True
+    is_isolated: bool = False
+    is_conclusive: bool = True
     wait_s: float = 0.0
     owner: str = ""
     balance: float = 0.0
 
 
-class GrantMemory:
+class GrantHistory:
     """The grants that this router obtained for its own requests within the last window."""
 
     def __init__(self, own_address: str) -> None:
         self._own = own_address
         self._uses: dict[str, collections.OrderedDict[int, PastUse]] = {}
 
-    def note(self, tenant: str, number: int, units: int, now: float) -> None:
+    def record(self, tenant: str, number: int, units: int, now: float) -> None:
         """Set the units used by a grant; the time of its first record is kept."""
         uses = self._uses.setdefault(tenant, collections.OrderedDict())
-        earlier = uses.get(number)
-        at = now if earlier is None else earlier.at
+        previous = uses.get(number)
+        at = now if previous is None else previous.at
         uses[number] = PastUse((self._own, number), units, at)
 
     def uses(self, tenant: str, since: float) -> list[PastUse]:
         """Return a tenant's grants since a monotonic time."""
         return [use for use in self._uses.get(tenant, {}).values() if use.at >= since]
 
-    def forget_before(self, since: float) -> None:
+    def drop_before(self, since: float) -> None:
         """Drop grants older than a monotonic time."""
         for tenant, uses in list(self._uses.items()):
             while uses and next(iter(uses.values())).at < since:
@@ -133,7 +133,7 @@
         owners: AccountOwners,
         configuration: Callable[[], int],
         settings: Callable[[], RouterSettings],
-        count: Callable[[str], None] = lambda _word: None,
+        count: Callable[[str], None] = lambda _outcome: None,
     ) -> None:
         self._loop = loop
         self._peers = peers
@@ -145,13 +145,15 @@
         now = loop.now()
         is_first = settings().is_first_start
         # Before the first start of all routers no grants exist.
-        self._remembers_since = -math.inf if is_first else now
+        self._history_since = -math.inf if is_first else now
         self._established_since = -math.inf if is_first else now
         self._started_at = now
         self._checked_at = now
-        self._memory = GrantMemory(own_address)
-        self._service = AccountService(loop, peers, own_address, owners, settings, self._own_memory)
-        self._alone = Ledger(self._bounds, self._even_part)
+        self._history = GrantHistory(own_address)
+        self._service = AccountService(
+            loop, peers, own_address, owners, settings, self._own_history
+        )
+        self._isolated_ledger = Ledger(self._bounds, self._even_share)
         self._pending: dict[int, Grant] = {}
         self._suspected: dict[str, float] = {}
         # Grant numbers must not repeat those of an earlier incarnation of this router.
@@ -168,24 +170,24 @@
 
     def is_starting(self) -> bool:
         """Whether this router started too recently to rely on its own membership view."""
-        return self._loop.now() - self._started_at <= START_UP_S
+        return self._loop.now() - self._started_at <= STARTUP_S
 
     def views(self) -> list[AccountView]:
         """Return the accounts held by this router."""
         return self._service.views()
 
-    def keep_house(self) -> None:
+    def run_maintenance(self) -> None:
         """Drop expired state and detect suspensions of the process."""
         now = self._loop.now()
-        self._detect_pause(now)
-        self._service.keep_house()
-        self._alone.forget_idle(now)
-        self._memory.forget_before(now - self._settings().bounds.longest_window_s)
+        self._detect_suspension(now)
+        self._service.run_maintenance()
+        self._isolated_ledger.drop_idle(now)
+        self._history.drop_before(now - self._settings().bounds.longest_window_s)
         self._suspected = {name: until for name, until in self._suspected.items() if until > now}
 
     # Requests for grants
 
-    def ask(
+    def request(
         self,
         tenant: str,
         limit: RateLimit,
@@ -200,18 +202,18 @@
                 version of the current configuration.
         """
         self._number += 1
-        known = VersionedLimit(
+        versioned_limit = VersionedLimit(
             self._configuration() if version is None else version,
             limit.units_per_s,
             limit.burst_units,
         )
-        use = QuotaUse(tenant, self._own, self._number, units, known)
+        use = QuotaUse(tenant, self._own, self._number, units, versioned_limit)
         now = self._loop.now()
-        asked = self._owners.asked(tenant)
-        asked.sort(key=lambda address: self._suspected.get(address, 0.0) > now)
-        grant = Grant(use, on_decided, asked)
+        candidates = self._owners.request_order(tenant)
+        candidates.sort(key=lambda address: self._suspected.get(address, 0.0) > now)
+        grant = Grant(use, on_decided, candidates)
         self._pending[use.number] = grant
-        self._ask_next(grant)
+        self._request_next(grant)
         return grant
 
     def give_back(self, grant: Grant) -> None:
@@ -219,134 +221,140 @@
         if grant.is_decided and not grant.is_granted:
             return
         if grant.is_granted:
-            self._memory.note(grant.use.tenant, grant.use.number, 0, self._loop.now())
-        self._decide(grant, False)
-        self._announce_use(grant, 0)
+            self._history.record(grant.use.tenant, grant.use.number, 0, self._loop.now())
+        self._close_request(grant, False)
+        self._report_use(grant, 0)
 
-    def _ask_next(self, grant: Grant) -> None:
+    def _request_next(self, grant: Grant) -> None:
         if not grant.remaining:
-            self._grant_alone(grant)
+            self._decide_isolated(grant)
             return
         address = grant.remaining.pop(0)
         grant.asked.append(address)
         use = grant.use
         is_final = len(grant.asked) > 1 and not grant.remaining
-        ask = QuotaAsk(use.tenant, use.asker, use.number, use.units, use.limit, is_final)
+        request = QuotaRequest(
+            use.tenant, use.requester, use.number, use.units, use.limit, is_final
+        )
         if address == self._own:
-            self._service.decide(ask, lambda verdict: self._take_own_verdict(grant, verdict))
+            self._service.decide(
+                request, lambda decision: self._apply_own_decision(grant, decision)
+            )
             return
-        grant.timer = self._loop.call_later(ANSWER_TIMEOUT_S, lambda: self._on_silence(grant))
-        self._peers.tell([address], ask)
+        grant.timer = self._loop.call_later(RESPONSE_TIMEOUT_S, lambda: self._on_timeout(grant))
+        self._peers.tell([address], request)
 
-    def _take_own_verdict(self, grant: Grant, verdict: Verdict) -> None:
+    def _apply_own_decision(self, grant: Grant, decision: QuotaDecision) -> None:
         if not grant.is_decided:
-            self._take_verdict(grant, verdict)
+            self._apply_decision(grant, decision)
 
-    def _on_silence(self, grant: Grant) -> None:
+    def _on_timeout(self, grant: Grant) -> None:
         if grant.is_decided:
             return
         self._count("unanswered")
         self._suspected[grant.asked[-1]] = self._loop.now() + SUSPECTED_FOR_S
-        self._ask_next(grant)
+        self._request_next(grant)
 
-    def _grant_alone(self, grant: Grant) -> None:
+    def _decide_isolated(self, grant: Grant) -> None:
         """Decide by this router's even share of the limit."""
         use = grant.use
         now = self._loop.now()
-        ask = QuotaAsk(use.tenant, use.asker, use.number, use.units, use.limit)
-        if not self._alone.has(use.tenant):
-            self._open_alone(use, now)
-        verdict = self._alone.ask(ask, now)
+        request = QuotaRequest(use.tenant, use.requester, use.number, use.units, use.limit)
+        if not self._isolated_ledger.has(use.tenant):
+            self._open_isolated_account(use, now)
+        decision = self._isolated_ledger.request(request, now)
         self._count("alone")
-        grant.is_alone = True
-        if verdict is not None:
-            self._take_verdict(grant, verdict)
-
-    def _open_alone(self, use: QuotaUse, now: float) -> None:
-        remembers_all = now - self._remembers_since > self._bounds(use.tenant).window_s
-        beginning = InitialBalance.FULL if remembers_all else InitialBalance.RESTARTED
-        part = self._even_part(use.tenant)
-        account = Account(use.limit, self._bounds(use.tenant), beginning, part, now)
-        self._alone.put(use.tenant, account, now)
-
-    def _take_verdict(self, grant: Grant, verdict: Verdict) -> None:
+        grant.is_isolated = True
+        if decision is not None:
+            self._apply_decision(grant, decision)
+
+    def _open_isolated_account(self, use: QuotaUse, now: float) -> None:
+        covers_window = now - self._history_since > self._bounds(use.tenant).window_s
+        initial_balance = InitialBalance.FULL if covers_window else InitialBalance.RESTARTED
+        share = self._even_share(use.tenant)
+        account = Account(use.limit, self._bounds(use.tenant), initial_balance, share, now)
+        self._isolated_ledger.put(use.tenant, account, now)
+
+    def _apply_decision(self, grant: Grant, decision: QuotaDecision) -> None:
         use = grant.use
-        if verdict.is_granted:
-            self._memory.note(use.tenant, use.number, use.units, self._loop.now())
-        self._decide(grant, verdict.is_granted)
-        grant.wait_s = verdict.wait_s
-        grant.owner, grant.balance = verdict.owner, verdict.balance
-        grant.is_sure = not grant.is_alone and self._owners.seen_share() >= MAJORITY_SHARE
-        if grant.is_alone or (len(grant.asked) > 1 and not verdict.is_granted):
+        if decision.is_granted:
+            self._history.record(use.tenant, use.number, use.units, self._loop.now())
+        self._close_request(grant, decision.is_granted)
+        grant.wait_s = decision.wait_s
+        grant.owner, grant.balance = decision.owner, decision.balance
+        grant.is_conclusive = (
+            not grant.is_isolated and self._owners.visible_fraction() >= MAJORITY_SHARE
+        )
+        if grant.is_isolated or (len(grant.asked) > 1 and not decision.is_granted):
             # An owner that did not respond may process the request late and count its units.
-            self._announce_use(grant, use.units if verdict.is_granted else 0)
-        self._count("granted" if verdict.is_granted else "refused")
+            self._report_use(grant, use.units if decision.is_granted else 0)
+        self._count("granted" if decision.is_granted else "refused")
         grant.on_decided(grant)
 
-    def _decide(self, grant: Grant, is_granted: bool) -> None:
+    def _close_request(self, grant: Grant, is_granted: bool) -> None:
         grant.is_decided = True
         grant.is_granted = is_granted
         self._pending.pop(grant.use.number, None)
         if grant.timer is not None:
             grant.timer.cancel()
 
-    def _announce_use(self, grant: Grant, units: int) -> None:
+    def _report_use(self, grant: Grant, units: int) -> None:
         """Report the units used by a grant to all routers that were asked for it."""
         use = grant.use
-        use_now = msgspec.structs.replace(use, units=units)
-        if grant.is_alone:
-            self._alone.note_use(use_now, self._loop.now())
+        updated_use = msgspec.structs.replace(use, units=units)
+        if grant.is_isolated:
+            self._isolated_ledger.record_use(updated_use, self._loop.now())
         others = [address for address in grant.asked if address != self._own]
         if others:
-            self._peers.tell(others, use_now)
+            self._peers.tell(others, updated_use)
         if len(others) < len(grant.asked):
-            self._service.note_use(use_now)
+            self._service.record_use(updated_use)
 
-    def _take_answer(self, answer: QuotaAnswer) -> None:
-        grant = self._pending.get(answer.number)
+    def _handle_response(self, response: QuotaResponse) -> None:
+        grant = self._pending.get(response.number)
         if grant is not None:
-            wait_s = answer.wait_ms / MS_PER_S
-            verdict = Verdict(answer.is_granted, wait_s, answer.owner, answer.balance)
-            self._take_verdict(grant, verdict)
+            wait_s = response.wait_ms / MS_PER_S
+            decision = QuotaDecision(response.is_granted, wait_s, response.owner, response.balance)
+            self._apply_decision(grant, decision)
 
     # Messages
 
-    def take(self, message: QuotaMessage) -> None:
+    def handle_message(self, message: QuotaMessage) -> None:
         """Handle a message from another router."""
-        self._detect_pause(self._loop.now())
-        if isinstance(message, QuotaAsk):
-            self._service.serve(message)
+        self._detect_suspension(self._loop.now())
+        if isinstance(message, QuotaRequest):
+            self._service.handle_request(message)
         elif isinstance(message, QuotaUse):
-            self._service.note_use(message)
+            self._service.record_use(message)
         elif isinstance(message, QuotaAck):
-            self._service.note_acknowledged(message)
-        elif isinstance(message, QuotaRecall):
-            self._service.answer_recall(message)
-        elif isinstance(message, QuotaMemory):
-            self._service.take_memory(message)
+            self._service.handle_acknowledgement(message)
+        elif isinstance(message, RecallRequest):
+            self._service.handle_recall(message)
+        elif isinstance(message, RecallResponse):
+            self._service.handle_recall_response(message)
         else:
-            self._take_answer(message)
+            self._handle_response(message)
 
-    def _detect_pause(self, now: float) -> None:
+    def _detect_suspension(self, now: float) -> None:
         """Drop all accounts after a suspension, during which the other owner kept granting."""
-        if now - self._checked_at > PAUSE_S:
+        if now - self._checked_at > SUSPENSION_THRESHOLD_S:
             log_event("quota_accounts_reset", paused_s=round(now - self._checked_at, 1))
             self._started_at = self._established_since = now
             self._service.reset()
         self._checked_at = now
 
-    def _own_memory(self, tenant: str) -> tuple[list[PastUse], float]:
+    def _own_history(self, tenant: str) -> tuple[list[PastUse], float]:
         """Return this router's grants of the last window, and how far back they are complete."""
         now = self._loop.now()
-        uses = self._memory.uses(tenant, now - self._bounds(tenant).window_s)
-        return uses, now - self._remembers_since
+        uses = self._history.uses(tenant, now - self._bounds(tenant).window_s)
+        return uses, now - self._history_since
 
     # Shares
 
     def _bounds(self, account: str) -> QuotaBounds:
         return self._settings().bounds.for_account(account)
 
-    def _even_part(self, _tenant: str) -> Part:
-        known = self._peers.budget_count()
-        routers = max(known, UNKNOWN_ROUTERS) if self.is_starting() else known
-        return Part(ALONE_SHARE / max(1, routers))
+    def _even_share(self, _tenant: str) -> LimitShare:
+        known_routers = self._peers.budget_count()
+        routers = max(known_routers, ASSUMED_ROUTERS) if self.is_starting() else known_routers
+        return LimitShare(ISOLATED_SHARE / max(1, routers))
--- a/src/martenrun/router/quotas/ledger.py
+++ b/src/martenrun/router/quotas/ledger.py
@@ -7,14 +7,14 @@
 
 import attrs
 
-from martenrun.router.quotas.account import Account, Part, PastUse, Verdict
+from martenrun.router.quotas.account import Account, LimitShare, PastUse, QuotaDecision
 from martenrun.router.quotas.limit import QuotaBounds, display_name
-from martenrun.router.quotas.messages import QuotaAsk, QuotaUse
+from martenrun.router.quotas.messages import QuotaRequest, QuotaUse
 
-KEPT_FOR_S = 120.0
+MAX_IDLE_S = 120.0
 """Idle time after which an account is dropped, in seconds; it has refilled by then."""
 
-MOST_ACCOUNTS = 20_000
+MAX_ACCOUNTS = 20_000
 """Maximum number of accounts; beyond it the least recently used ones are dropped."""
 
 
@@ -34,12 +34,14 @@
 
     Args:
         bounds: returns the enforcement bounds for an account.
-        part: returns the share of a limit that an account here may grant, by account name.
+        share: returns the share of a limit that an account here may grant, by account name.
     """
 
-    def __init__(self, bounds: Callable[[str], QuotaBounds], part: Callable[[str], Part]) -> None:
+    def __init__(
+        self, bounds: Callable[[str], QuotaBounds], share: Callable[[str], LimitShare]
+    ) -> None:
         self._bounds = bounds
-        self._part = part
+        self._share = share
         self._accounts: dict[str, Account] = {}
         self._stale: set[str] = set()
 
@@ -57,41 +59,43 @@
     def put(self, tenant: str, account: Account, now: float) -> None:
         """Store a current account, replacing an earlier one.
 
-        The earlier account counted all grants made here.  If the new one does not cover a whole
+        The earlier account counted all grants made here.  If the new one does not cover a full
         window, its balance is capped at the earlier one's.
         """
-        earlier = self._accounts.get(tenant)
-        if earlier is not None and account.covered_s(now) < self._bounds(tenant).window_s:
-            account.lower_to(earlier.level(now), now)
-        while len(self._accounts) >= MOST_ACCOUNTS and tenant not in self._accounts:
+        previous = self._accounts.get(tenant)
+        if previous is not None and account.covered_s(now) < self._bounds(tenant).window_s:
+            account.cap_balance(previous.level(now), now)
+        while len(self._accounts) >= MAX_ACCOUNTS and tenant not in self._accounts:
             self._drop(min(self._accounts, key=lambda name: self._accounts[name].used_at))
         self._accounts[tenant] = account
         self._stale.discard(tenant)
 
-    def mark_stale(self, is_informed: Callable[[str], bool]) -> None:
+    def mark_stale(self, receives_uses: Callable[[str], bool]) -> None:
         """Mark the accounts whose grants are not replicated to this router as stale."""
-        self._stale.update(tenant for tenant in self._accounts if not is_informed(tenant))
+        self._stale.update(tenant for tenant in self._accounts if not receives_uses(tenant))
 
-    def ask(self, ask: QuotaAsk, now: float) -> Verdict | None:
+    def request(self, request: QuotaRequest, now: float) -> QuotaDecision | None:
         """Grant units of a tenant's account; return None if the requester returned the grant."""
-        account = self._accounts[ask.tenant]
-        account.learn(ask.limit, self._bounds(ask.tenant), self._part(ask.tenant), now)
-        return account.ask((ask.asker, ask.number), ask.units, now)
+        account = self._accounts[request.tenant]
+        account.update_limit(
+            request.limit, self._bounds(request.tenant), self._share(request.tenant), now
+        )
+        return account.request((request.requester, request.number), request.units, now)
 
-    def note_use(self, use: QuotaUse, now: float) -> None:
+    def record_use(self, use: QuotaUse, now: float) -> None:
         """Apply a use that another router reported."""
         account = self._accounts[use.tenant]
-        account.learn(use.limit, self._bounds(use.tenant), self._part(use.tenant), now)
-        account.note_use((use.asker, use.number), use.units, now)
+        account.update_limit(use.limit, self._bounds(use.tenant), self._share(use.tenant), now)
+        account.record_use((use.requester, use.number), use.units, now)
 
-    def count_late(self, tenant: str, uses: Sequence[PastUse], now: float) -> None:
+    def record_late_uses(self, tenant: str, uses: Sequence[PastUse], now: float) -> None:
         """Count uses of the last window that were reported late, if there is an account."""
         account = self._accounts.get(tenant)
         if account is not None:
             known = {use.key for use in account.recent_uses(now)}
             for use in uses:
                 if use.key not in known and use.at >= account.covered_since:
-                    account.note_use(use.key, use.units, now)
+                    account.record_use(use.key, use.units, now)
 
     def recent_uses(self, tenant: str, now: float) -> list[PastUse]:
         """Return the uses of a tenant known here; empty without an account."""
@@ -121,12 +125,12 @@
         ]
         return sorted(views, key=lambda view: view.left / max(1.0, view.per_s))
 
-    def forget_idle(self, now: float) -> None:
+    def drop_idle(self, now: float) -> None:
         """Drop accounts that have not been used recently."""
         idle = [
             tenant
             for tenant, account in self._accounts.items()
-            if now - account.used_at > KEPT_FOR_S
+            if now - account.used_at > MAX_IDLE_S
         ]
         for tenant in idle:
             self._drop(tenant)
--- a/src/martenrun/router/quotas/messages.py
+++ b/src/martenrun/router/quotas/messages.py
@@ -26,7 +26,7 @@
     burst_units: float
 
 
-class QuotaAsk(msgspec.Struct, array_like=True, frozen=True, tag="quota"):
+class QuotaRequest(msgspec.Struct, array_like=True, frozen=True, tag="quota"):
     """Requests units of an account.
 
     Attributes:
@@ -36,14 +36,14 @@
     """
 
     tenant: str
-    asker: str
+    requester: str
     number: int
     units: int
     limit: VersionedLimit
     is_final: bool = False
 
 
-class QuotaAnswer(msgspec.Struct, array_like=True, frozen=True, tag="granted"):
+class QuotaResponse(msgspec.Struct, array_like=True, frozen=True, tag="granted"):
     """Reports whether units were granted, and otherwise the delay before a retry.
 
     Attributes:
@@ -66,7 +66,7 @@
     """
 
     tenant: str
-    asker: str
+    requester: str
     number: int
     units: int
     limit: VersionedLimit
@@ -79,7 +79,7 @@
     replica: str
 
 
-class QuotaRecall(msgspec.Struct, array_like=True, frozen=True, tag="recall"):
+class RecallRequest(msgspec.Struct, array_like=True, frozen=True, tag="recall"):
     """Asks all routers for the grants of an account within the last window.
 
     Attributes:
@@ -87,7 +87,7 @@
     """
 
     tenant: str
-    asker: str
+    requester: str
 
 
 class RecalledUse(msgspec.Struct, array_like=True, frozen=True):
@@ -99,7 +99,7 @@
         age_ms: time since it was granted, in milliseconds.
     """
 
-    asker: str
+    requester: str
     number: int
     units: int
     age_ms: int
@@ -119,7 +119,7 @@
     uses: list[RecalledUse]
 
 
-class QuotaMemory(msgspec.Struct, array_like=True, frozen=True, tag="memory"):
+class RecallResponse(msgspec.Struct, array_like=True, frozen=True, tag="memory"):
     """Responds to a recall request.
 
     Attributes:
@@ -136,4 +136,4 @@
     account: RecalledAccount | None = None
 
 
-QuotaMessage = QuotaAsk | QuotaAnswer | QuotaUse | QuotaAck | QuotaRecall | QuotaMemory
+QuotaMessage = QuotaRequest | QuotaResponse | QuotaUse | QuotaAck | RecallRequest | RecallResponse
--- a/src/martenrun/router/quotas/owners.py
+++ b/src/martenrun/router/quotas/owners.py
@@ -13,10 +13,10 @@
 from martenrun.router.peer_messages import RouterRecord
 from martenrun.router.quotas.messages import QuotaStage
 
-OWNERS = 2
+OWNERS_PER_ACCOUNT = 2
 """Number of routers that own each account."""
 
-MOST_ASKED = 3
+MAX_ROUTERS_ASKED = 3
 """Maximum number of routers that are asked one after the other."""
 
 REFRESH_INTERVAL_S = 0.1
@@ -63,20 +63,20 @@
         self._is_starting = is_starting
         self._seeds = [seed for seed in seeds if seed != self._own]
         self._refreshed_at = -math.inf
-        self._seen_share = 1.0
+        self._visible_fraction = 1.0
         self._candidates: list[str] = []
         self._participants: list[str] = []
         self._stages: dict[str, int] = {}
         self._ranked: dict[str, list[str]] = {}
-        self._previous: list[str] = []
+        self._previous_candidates: list[str] = []
 
     def owners(self, tenant: str) -> list[str]:
         """Return the addresses of the routers that own a tenant's account."""
-        return self._ranking(tenant)[:OWNERS]
+        return self._ranking(tenant)[:OWNERS_PER_ACCOUNT]
 
     def previous_owners(self, tenant: str) -> list[str]:
         """Return the owners of a tenant's account before the last change of membership."""
-        return ranked(tenant.encode(), self._previous)[:OWNERS]
+        return ranked(tenant.encode(), self._previous_candidates)[:OWNERS_PER_ACCOUNT]
 
     def is_substitute(self, tenant: str) -> bool:
         """Whether this router decides requests for an account that other routers own.
@@ -88,7 +88,7 @@
         others = (stage for at, stage in self._stages.items() if at != self._own)
         return not self._is_starting() or QuotaStage.ESTABLISHED in others
 
-    def notified(self, tenant: str) -> list[str]:
+    def replication_targets(self, tenant: str) -> list[str]:
         """Return the routers that receive the uses of a tenant's account.
 
         These are the owners.  While one of the first three in the ranking has started recently, the
@@ -96,22 +96,22 @@
         """
         ranking = self._ranking(tenant)
         is_new = any(self._stages[address] == QuotaStage.JOINING for address in ranking)
-        return ranking[: MOST_ASKED if is_new else OWNERS]
+        return ranking[: MAX_ROUTERS_ASKED if is_new else OWNERS_PER_ACCOUNT]
 
-    def asked(self, tenant: str) -> list[str]:
+    def request_order(self, tenant: str) -> list[str]:
         """Return the routers to ask for a tenant's units, in order.
 
         The owner that has run longer comes first because it need not recover the account.
         """
         ranking = self._ranking(tenant)
         if self._seeds and self._is_starting():
-            seeds = ranked(tenant.encode(), self._seeds)[: MOST_ASKED - 1]
+            seeds = ranked(tenant.encode(), self._seeds)[: MAX_ROUTERS_ASKED - 1]
             return seeds + (ranking[:1] if self._members.is_settled() else [])
-        owners = ranking[:OWNERS]
+        owners = ranking[:OWNERS_PER_ACCOUNT]
         owners.sort(key=lambda address: -self._stages[address])
-        return owners + ranking[OWNERS:MOST_ASKED]
+        return owners + ranking[OWNERS_PER_ACCOUNT:MAX_ROUTERS_ASKED]
 
-    def forwards_to(self, tenant: str) -> str | None:
+    def forwarding_target(self, tenant: str) -> str | None:
         """Return the router to which a request for an account owned elsewhere is forwarded.
 
         A router that is starting forwards to an established owner, which knows earlier grants, as
@@ -132,28 +132,30 @@
         self._refresh()
         return self._participants
 
-    def departed_at(self) -> tuple[float, ...]:
+    def departure_times(self) -> tuple[float, ...]:
         """Return when each router considered dead was last heard from, in monotonic seconds."""
         return tuple(self._members.silent_since())
 
-    def knows_all(self) -> bool:
+    def has_complete_view(self) -> bool:
         """Whether this router's membership view is complete as far as it can tell."""
         return self._members.is_settled() and not self._is_starting()
 
-    def seen_share(self) -> float:
+    def visible_fraction(self) -> float:
         """Return the fraction of all routers that this one sees.
 
         Routers out of sight may have stopped, or may be cut off and grant their own shares; the two
         cases cannot be distinguished.
         """
         self._refresh()
-        return self._seen_share
+        return self._visible_fraction
 
     def _ranking(self, tenant: str) -> list[str]:
         self._refresh()
         found = self._ranked.get(tenant)
         if found is None:
-            found = self._ranked[tenant] = ranked(tenant.encode(), self._candidates)[:MOST_ASKED]
+            found = self._ranked[tenant] = ranked(tenant.encode(), self._candidates)[
+                :MAX_ROUTERS_ASKED
+            ]
         return found
 
     def _refresh(self) -> None:
@@ -164,7 +166,7 @@
         self._refreshed_at = now
         others = self._members.live()
         records = [self._members.own, *others]
-        self._seen_share = len(records) / (len(records) + len(self._members.silent_since()))
+        self._visible_fraction = len(records) / (len(records) + len(self._members.silent_since()))
         self._participants = [
             record.address for record in others if record.quota_stage > QuotaStage.NONE
         ]
@@ -175,5 +177,5 @@
         }
         candidates = sorted(self._stages)
         if candidates != self._candidates:
-            self._previous, self._candidates = self._candidates, candidates
+            self._previous_candidates, self._candidates = self._candidates, candidates
             self._ranked.clear()
--- a/src/martenrun/router/quotas/recovery.py
+++ b/src/martenrun/router/quotas/recovery.py
@@ -12,21 +12,21 @@
 
 import attrs
 
-from martenrun.router.quotas.account import Account, InitialBalance, Part, PastUse
+from martenrun.router.quotas.account import Account, InitialBalance, LimitShare, PastUse
 from martenrun.router.quotas.limit import QuotaBounds
 from martenrun.router.quotas.messages import (
-    QuotaMemory,
     RecalledAccount,
     RecalledUse,
+    RecallResponse,
     VersionedLimit,
 )
-from martenrun.router.quotas.owners import OWNERS
+from martenrun.router.quotas.owners import OWNERS_PER_ACCOUNT
 
 MS_PER_S = 1000.0
 
 
 @attrs.frozen
-class HeardAccount:
+class AccountSnapshot:
     """Another router's copy of an account; ``covered_since`` is monotonic time in seconds."""
 
     balance: float
@@ -35,15 +35,15 @@
 
 
 @attrs.frozen
-class Opening:
+class RecoveredAccount:
     """A recovered account and how its opening balance was determined."""
 
     account: Account
-    beginning: InitialBalance
+    initial_balance: InitialBalance
 
 
 @attrs.frozen
-class Situation:
+class RecoveryContext:
     """The recovering router's view of the other routers.
 
     Attributes:
@@ -52,8 +52,8 @@
         is_substitute: whether the owners of the account may still be granting elsewhere.
     """
 
-    departed_at: tuple[float, ...] = ()
-    knows_all: bool = True
+    departure_times: tuple[float, ...] = ()
+    has_complete_view: bool = True
     is_substitute: bool = False
 
 
@@ -65,16 +65,16 @@
         routers: internal addresses of the routers that are asked.
     """
 
-    def __init__(self, limit: VersionedLimit, asked: Iterable[str], bounds: QuotaBounds) -> None:
+    def __init__(self, limit: VersionedLimit, routers: Iterable[str], bounds: QuotaBounds) -> None:
         self.limit = limit
         self._bounds = bounds
-        self._awaited = set(asked)
+        self._awaited = set(routers)
         self._uses: dict[tuple[str, int], PastUse] = {}
-        self._accounts: list[HeardAccount] = []
-        self._remembered_since: list[float] = []
+        self._snapshots: list[AccountSnapshot] = []
+        self._history_since: list[float] = []
 
     @property
-    def is_answered(self) -> bool:
+    def is_complete(self) -> bool:
         """Whether every router has responded."""
         return not self._awaited
 
@@ -83,7 +83,7 @@
         """The number of routers that have not responded."""
         return len(self._awaited)
 
-    def learn_limit(self, limit: VersionedLimit) -> None:
+    def update_limit(self, limit: VersionedLimit) -> None:
         """Apply a limit if it is of a newer configuration."""
         if limit.configuration > self.limit.configuration:
             self.limit = limit
@@ -92,81 +92,87 @@
         """Add a use that was reported during the recovery."""
         self._uses[use.key] = use
 
-    def add(self, memory: QuotaMemory, now: float) -> None:
+    def add_response(self, response: RecallResponse, now: float) -> None:
         """Add a router's response; its report of its own grants takes precedence."""
-        self._awaited.discard(memory.sender)
-        remembered_s = memory.remembered_ms / MS_PER_S
-        is_whole = remembered_s >= self._bounds.window_s
-        self._remembered_since.append(-math.inf if is_whole else now - remembered_s)
-        for use in past_uses(memory.uses, now):
+        self._awaited.discard(response.sender)
+        remembered_s = response.remembered_ms / MS_PER_S
+        covers_window = remembered_s >= self._bounds.window_s
+        self._history_since.append(-math.inf if covers_window else now - remembered_s)
+        for use in past_uses(response.uses, now):
             self._uses[use.key] = use
-        if memory.account is not None:
-            self._add_account(memory.account, now)
-
-    def _add_account(self, heard: RecalledAccount, now: float) -> None:
-        uses = tuple(past_uses(heard.uses, now))
-        covered_s = heard.covered_ms / MS_PER_S
-        is_whole = covered_s >= self._bounds.window_s
-        covered_since = -math.inf if is_whole else now - covered_s
-        self._accounts.append(HeardAccount(heard.balance, covered_since, uses))
+        if response.account is not None:
+            self._add_snapshot(response.account, now)
+
+    def _add_snapshot(self, recalled: RecalledAccount, now: float) -> None:
+        uses = tuple(past_uses(recalled.uses, now))
+        covered_s = recalled.covered_ms / MS_PER_S
+        covers_window = covered_s >= self._bounds.window_s
+        covered_since = -math.inf if covers_window else now - covered_s
+        self._snapshots.append(AccountSnapshot(recalled.balance, covered_since, uses))
         for use in uses:
             self._uses.setdefault(use.key, use)
 
-    def open(self, part: Part, situation: Situation, now: float) -> Opening:
+    def recover(self, share: LimitShare, context: RecoveryContext, now: float) -> RecoveredAccount:
         """Return the account; its balance is assumed only where grants are unknown."""
-        best = min(
-            self._accounts, key=lambda heard: (heard.covered_since, heard.balance), default=None
+        oldest = min(
+            self._snapshots,
+            key=lambda snapshot: (snapshot.covered_since, snapshot.balance),
+            default=None,
         )
-        window_began_at = now - self._bounds.window_s
-        if best is not None and best.covered_since <= window_began_at:
-            return self._adopt(best, part, now)
-        forgotten_until = self._forgotten_until(situation, now)
-        if not forgotten_until:
-            return self._replay(InitialBalance.FULL, window_began_at, part)
-        if best is not None:
-            return self._adopt(best, part, now)
-        beginning = (
-            InitialBalance.SUBSTITUTE if situation.is_substitute else InitialBalance.RESTARTED
+        window_start = now - self._bounds.window_s
+        if oldest is not None and oldest.covered_since <= window_start:
+            return self._restore(oldest, share, now)
+        loss_times = self._loss_times(context, now)
+        if not loss_times:
+            return self._replay(InitialBalance.FULL, window_start, share)
+        if oldest is not None:
+            return self._restore(oldest, share, now)
+        initial_balance = (
+            InitialBalance.SUBSTITUTE if context.is_substitute else InitialBalance.RESTARTED
         )
-        return self._replay(beginning, max(forgotten_until), part)
+        return self._replay(initial_balance, max(loss_times), share)
 
-    def _forgotten_until(self, situation: Situation, now: float) -> list[float]:
+    def _loss_times(self, context: RecoveryContext, now: float) -> list[float]:
         """Return, for each router whose grants may be lost, the time until which they may be.
 
-        Empty while fewer routers are gone than know of each grant.
+        Empty if each grant must still be known to a router with a complete history.
         """
-        window_began_at = now - self._bounds.window_s
+        window_start = now - self._bounds.window_s
         times = [now] * len(self._awaited)
-        times += [at for at in self._remembered_since if at > window_began_at]
-        times += [at for at in situation.departed_at if at > window_began_at]
-        if not situation.knows_all:
+        times += [at for at in self._history_since if at > window_start]
+        times += [at for at in context.departure_times if at > window_start]
+        if not context.has_complete_view:
             return [now, *times]
-        return times if len(times) >= OWNERS else []
-
-    def _adopt(self, heard: HeardAccount, part: Part, now: float) -> Opening:
-        account = Account(self.limit, self._bounds, InitialBalance.FULL, part, now)
-        account.adopt(heard.balance, heard.uses, heard.covered_since)
-        contained = {use.key for use in heard.uses}
+        return times if len(times) >= OWNERS_PER_ACCOUNT else []
+
+    def _restore(
+        self, snapshot: AccountSnapshot, share: LimitShare, now: float
+    ) -> RecoveredAccount:
+        account = Account(self.limit, self._bounds, InitialBalance.FULL, share, now)
+        account.restore_balance(snapshot.balance, snapshot.uses, snapshot.covered_since)
+        included = {use.key for use in snapshot.uses}
         for use in self._uses.values():
-            if use.key not in contained:
-                account.note_use(use.key, use.units, now)
-        return Opening(account, InitialBalance.TRANSFERRED)
+            if use.key not in included:
+                account.record_use(use.key, use.units, now)
+        return RecoveredAccount(account, InitialBalance.TRANSFERRED)
 
-    def _replay(self, beginning: InitialBalance, since: float, part: Part) -> Opening:
+    def _replay(
+        self, initial_balance: InitialBalance, since: float, share: LimitShare
+    ) -> RecoveredAccount:
         """Return an account opened at a past time, with the uses known since then applied."""
-        account = Account(self.limit, self._bounds, beginning, part, since)
+        account = Account(self.limit, self._bounds, initial_balance, share, since)
         for use in sorted(self._uses.values(), key=lambda use: use.at):
             if use.at >= since:
-                account.note_use(use.key, use.units, use.at)
+                account.record_use(use.key, use.units, use.at)
             else:
-                account.remember(use)
-        return Opening(account, beginning)
+                account.register_counted_use(use)
+        return RecoveredAccount(account, initial_balance)
 
 
 def past_uses(uses: Iterable[RecalledUse], now: float) -> list[PastUse]:
     """Return recalled uses with the times at which they were granted."""
     return [
-        PastUse((use.asker, use.number), use.units, now - use.age_ms / MS_PER_S) for use in uses
+        PastUse((use.requester, use.number), use.units, now - use.age_ms / MS_PER_S) for use in uses
     ]
 
 
--- a/src/martenrun/router/request_quota.py
+++ b/src/martenrun/router/request_quota.py
@@ -14,10 +14,10 @@
         self._tenant = admitted.tenant
         self._limit = None if admitted.tenant is None else admitted.tenant.limit
         self._tokens = admitted.call.counted_tokens
-        self._asked: Grant | None = None
+        self._pending: Grant | None = None
         self._grant: Grant | None = None
         self._is_used = False
-        self.last: Grant | None = None
+        self.last_grant: Grant | None = None
         """The most recent decision, for logging."""
 
     @property
@@ -30,21 +30,21 @@
         assert self._gate is not None and self._tenant is not None and self._limit is not None
 
         def decided(grant: Grant) -> None:
-            self._asked = None
-            self.last = grant
+            self._pending = None
+            self.last_grant = grant
             self._grant = grant if grant.is_granted else None
             on_decided(grant)
 
         units = self._limit.units(self._tokens)
-        asked = self._gate.ask(self._tenant.name, self._limit, units, decided)
-        if not asked.is_decided:
-            self._asked = asked
+        pending = self._gate.request(self._tenant.name, self._limit, units, decided)
+        if not pending.is_decided:
+            self._pending = pending
 
-    def note_sent(self) -> None:
+    def record_sent(self) -> None:
         """Record that the request was sent to a runner."""
         self._is_used = True
 
-    def note_failed(self, may_have_run: bool) -> None:
+    def record_failure(self, may_have_run: bool) -> None:
         """Record a failed attempt; if the runner may have run it, its grant is used up."""
         self._is_used = False
         if may_have_run:
@@ -52,7 +52,7 @@
 
     def close(self) -> None:
         """Finish the request and return its grant if that was not used."""
-        unused = self._asked or (None if self._is_used else self._grant)
-        self._asked = self._grant = None
+        unused = self._pending or (None if self._is_used else self._grant)
+        self._pending = self._grant = None
         if unused is not None and self._gate is not None:
             self._gate.give_back(unused)
--- a/src/martenrun/router/runner_access.py
+++ b/src/martenrun/router/runner_access.py
@@ -55,7 +55,7 @@
             on_decided(grant)
 
         account = runner_account(state.runner.instance)
-        asked = gate.ask(account, limit.rate_limit, 1, decided, limit.version)
+        asked = gate.request(account, limit.rate_limit, 1, decided, limit.version)
         if not asked.is_decided:
             self._pending = state, asked
 
@@ -81,7 +81,7 @@
         if grant.is_granted and now - asked_at <= GRANT_VALID_S:
             limits.count("granted")
             self._granted = state, grant
-        elif grant.is_alone and limits.allow_probe(state.runner.instance, now):
+        elif grant.is_isolated and limits.allow_probe(state.runner.instance, now):
             self._granted = state, None
         else:
             limits.count("refused")
--- a/src/martenrun/router/runner_choice.py
+++ b/src/martenrun/router/runner_choice.py
@@ -49,12 +49,12 @@
         """Return this request's fingerprint if something is known of requests like it."""
         if self._fingerprint is None:
             suspects = self._world.suspects
-            self._fingerprint = suspects.fingerprint(self._request, self._admitted)
+            self._fingerprint = suspects.known_fingerprint(self._request, self._admitted)
         return self._fingerprint
 
     def held_back_s(self) -> float:
         """Return for how long requests like this one are held back, in seconds; 0 if not."""
-        return self._world.suspects.held_for_s(self.known_fingerprint())
+        return self._world.suspects.blocked_for_s(self.known_fingerprint())
 
     # Rate limits of runners
 
--- a/src/martenrun/router/trail.py
+++ b/src/martenrun/router/trail.py
@@ -32,7 +32,7 @@
             routers=",".join(grant.asked),
             owner=grant.owner,
             balance=round(grant.balance),
-            is_alone=grant.is_alone,
+            is_alone=grant.is_isolated,
             wait_ms=round(grant.wait_s * 1000),
         )
 
--- a/src/martenrun/router/world.py
+++ b/src/martenrun/router/world.py
@@ -6,6 +6,7 @@
 
 from martenrun.identity.rendezvous import weight
 from martenrun.net.loop import Loop
+from martenrun.router.crash_tracker import CrashTracker
 from martenrun.router.decisions import Decisions
 from martenrun.router.dialect import Dialect
 from martenrun.router.knowledge import ConfigurationKnowledge, RunnerDirectory, WeightsKnowledge
@@ -18,7 +19,6 @@
 from martenrun.router.runner_pool import RunnerPool
 from martenrun.router.runner_state import RunnerState
 from martenrun.router.settings import RouterSettings
-from martenrun.router.suspects import Suspects
 
 OLD_WEIGHTS_MARGIN_S = 0.9
 """How long before the bound no request is sent to older weights any more, in seconds.
@@ -55,7 +55,7 @@
     weights: WeightsKnowledge
     pool: RunnerPool
     placement: Placement
-    suspects: Suspects
+    suspects: CrashTracker
     node_count: Callable[[], int]
     count: Callable[[str, Route, float], None]
     store_works: Callable[[KeptCacheStore], bool]
--- a/tests/router/blame_fleet.py
+++ b/tests/router/crash_fleet.py
@@ -12,31 +12,31 @@
 import msgspec
 
 from martenrun.platform import DIALECT
-from martenrun.router.blame_store import BlameStore
+from martenrun.router.crash_record_writer import CrashRecordWriter
 from martenrun.router.dataset_copy import CopyListener
-from martenrun.router.fingerprint import fingerprint
+from martenrun.router.fingerprint import request_fingerprint
 from martenrun.router.log import EVENT_LOG
 from martenrun.router.messages import Dataset
 
-from .blame_world import admitted, request, suspects
+from .crash_world import admitted, crash_tracker, request
 from .fleet_world import CountingStore, Fleet, KeptRouter
 
-RUN = fingerprint(request(b"deadly"), admitted())
+FINGERPRINT = request_fingerprint(request(b"deadly"), admitted())
 KIND = "router-blame"
 CRASH_S = 0.1
 """How long a run lasts before its runner crashes, in seconds."""
 
 SETTLED_S = 8.0
-KNOWN_WITHIN_S = 3.0
+BLOCKED_WITHIN_S = 3.0
 RESTART_S = 0.4
 
 
-class BlameKeepingStore(CountingStore):
+class CrashRecordStore(CountingStore):
     """A store that also holds the routers' crash records."""
 
     def __init__(self, loop):
         super().__init__(loop)
-        self.kept = None
+        self.stored = None
         self.writes = 0
 
     def serve(self, call, on_answer):
@@ -44,7 +44,7 @@
         if not kind.startswith(KIND) or self.is_down:
             super().serve(call, on_answer)
         elif call.method == b"GET" and b"watch" not in call.target:
-            items = [] if self.kept is None else [self.kept]
+            items = [] if self.stored is None else [self.stored]
             self._answer(on_answer, 200, {"items": items, "more": False, "at": self.revision})
         elif call.method == b"GET":
             super().serve(call, on_answer)
@@ -52,65 +52,67 @@
             self._write(msgspec.json.decode(call.body), call.method == b"POST", on_answer)
 
     def _write(self, body, creates, on_answer):
-        wanted = body["metadata"].get("revision")
-        revision = None if self.kept is None else self.kept["metadata"]["revision"]
-        if (creates and revision is not None) or (not creates and wanted != revision):
-            self._answer(on_answer, 409, self.kept)
+        expected = body["metadata"].get("revision")
+        revision = None if self.stored is None else self.stored["metadata"]["revision"]
+        if (creates and revision is not None) or (not creates and expected != revision):
+            self._answer(on_answer, 409, self.stored)
             return
         self.writes += 1
         metadata = {"name": "main", "revision": self.revision + 1}
-        self.kept = {"metadata": metadata, "spec": body["spec"]}
+        self.stored = {"metadata": metadata, "spec": body["spec"]}
         self.change(KIND)
-        self._answer(on_answer, 200, self.kept)
+        self._answer(on_answer, 200, self.stored)
 
     def _changed_item(self, kind):
-        return self.kept if kind == KIND else super()._changed_item(kind)
+        return self.stored if kind == KIND else super()._changed_item(kind)
 
 
-class BlamingRouter(KeptRouter):
+class TrackingRouter(KeptRouter):
     """A router that follows, broadcasts and stores crash records."""
 
     def __init__(self, fleet, address, seeds):
         super().__init__(fleet, address, seeds)
-        self.born_at = fleet.loop.now()
+        self.started_at = fleet.loop.now()
         self.is_off = False
         peers = fleet.world.routers[address]
-        self.suspects = suspects(fleet.loop, tell=peers.tell_all)
-        peers._on_news = self.suspects.take
-        peers._newcomer_news = lambda routers: filter(None, [self.suspects.newcomer_news(routers)])
-        copy = self.copies[Dataset.BLAME]
-        copy._listener = CopyListener(
-            lambda stored: self.suspects.take_stored(DIALECT.read_blame(stored)),
+        self.tracker = crash_tracker(fleet.loop, broadcast=peers.tell_all)
+        peers._on_news = self.tracker.handle_update
+        peers._newcomer_news = lambda routers: filter(
+            None, [self.tracker.update_for_joining_router(routers)]
+        )
+        replica = self.copies[Dataset.BLAME]
+        replica._listener = CopyListener(
+            lambda stored: self.tracker.merge_stored(DIALECT.read_blame(stored)),
             lambda _name: None,
             lambda: None,
         )
-        self.writer = BlameStore(
+        self.writer = CrashRecordWriter(
             fleet.loop,
             fleet.store_caller(address),
             DIALECT,
-            copy,
-            self.suspects,
+            replica,
+            self.tracker,
             lambda: self.keeper.reads_store,
         )
         self._loop = fleet.loop
-        self._keep_house()
+        self._run_maintenance()
 
-    def _keep_house(self):
+    def _run_maintenance(self):
         if not self.is_off:
-            self.suspects.keep_house()
-            self.writer.check()
-            self._loop.call_later(0.25, self._keep_house)
+            self.tracker.run_maintenance()
+            self.writer.write_if_due()
+            self._loop.call_later(0.25, self._run_maintenance)
 
-    def knows(self):
-        return self.suspects.held_for_s(RUN) > 0
+    def blocks_request(self):
+        return self.tracker.blocked_for_s(FINGERPRINT) > 0
 
 
-class BlamingFleet(Fleet):
+class CrashFleet(Fleet):
     """Routers, the store, and one crash-causing request that is sent repeatedly to any router."""
 
     def __init__(self, seed, count, lost_share=0.0, zones=5):
         super().__init__(seed, count, zones)
-        self.store = BlameKeepingStore(self.loop)
+        self.store = CrashRecordStore(self.loop)
         self.rng = self.world.rng
         if lost_share:
             of = 20
@@ -133,7 +135,7 @@
     def start(self, address):
         seeds = tuple(self.addresses[:3])
         self.world.start(address, seeds, self.zones[address])
-        self.members[address] = BlamingRouter(self, address, seeds)
+        self.members[address] = TrackingRouter(self, address, seeds)
 
     def stop(self, address):
         self.members[address].is_off = True
@@ -145,86 +147,93 @@
             self.stop(address)
             self.loop.call_later(RESTART_S, lambda address=address: self.start(address))
 
-    def request_on(self, pause_s):
+    def send_repeatedly(self, pause_s):
         """Send the crash-causing request to a random router, repeatedly."""
         if self.members:
             router = self.rng.choice(list(self.members.values()))
-            if not router.knows():
-                self.arrivals.append((self.loop.now(), router.born_at))
+            if not router.blocks_request():
+                self.arrivals.append((self.loop.now(), router.started_at))
                 self.loop.call_later(CRASH_S, lambda: self._crash(router))
         pause = self.rng.expovariate(1 / pause_s)
-        self.loop.call_later(pause, lambda: self.request_on(pause_s))
+        self.loop.call_later(pause, lambda: self.send_repeatedly(pause_s))
 
     def _crash(self, router):
-        start = f"i-{len(self.crashes)}"
+        instance = f"i-{len(self.crashes)}"
         self.crashes.append(self.loop.now())
         if not router.is_off:
-            router.suspects._on_ended(start, [RUN])
+            router.tracker._record_crashes(instance, [FINGERPRINT])
 
     def late_arrivals(self):
         """Count arrivals after the time by which the router should know of the third crash."""
-        known_from = self.crashes[2] + KNOWN_WITHIN_S
-        return sum(at > known_from and at - born > KNOWN_WITHIN_S for at, born in self.arrivals)
+        blocked_from = self.crashes[2] + BLOCKED_WITHIN_S
+        return sum(
+            at > blocked_from and at - started_at > BLOCKED_WITHIN_S
+            for at, started_at in self.arrivals
+        )
 
 
-def herd_of_half(fleet):
+def restart_half(fleet):
     fleet.restart(fleet.rng.sample(list(fleet.members), len(fleet.members) // 2))
 
 
-def loss_of_all(fleet):
+def restart_all(fleet):
     fleet.restart(list(fleet.members))
 
 
 def store_down(fleet):
     fleet.store.is_down = True
-    herd_of_half(fleet)
+    restart_half(fleet)
 
 
-TROUBLES = {
+FAILURES = {
     "none": lambda _fleet: None,
-    "half restart": herd_of_half,
-    "all lose power": loss_of_all,
+    "half restart": restart_half,
+    "all lose power": restart_all,
     "store down, half restart": store_down,
 }
 
 
-def play(seed, count, trouble, lost_share=0.1, pause_s=0.5, trouble_after=3, lasts_s=14.0):
+def simulate(seed, count, failure, lost_share=0.1, pause_s=0.5, crashes_before=3, duration_s=14.0):
     """Simulate one fleet; the failure occurs half a second after the given number of crashes."""
-    fleet = BlamingFleet(seed, count, lost_share)
+    fleet = CrashFleet(seed, count, lost_share)
     fleet.start_all()
     fleet.world.run(SETTLED_S)
-    fleet.request_on(pause_s)
-    while len(fleet.crashes) < trouble_after:
+    fleet.send_repeatedly(pause_s)
+    while len(fleet.crashes) < crashes_before:
         fleet.world.run(0.05)
     fleet.world.run(0.5)
-    TROUBLES[trouble](fleet)
-    known_after_s = math.inf
-    for _ in range(int(lasts_s / 0.05)):
+    FAILURES[failure](fleet)
+    blocked_after_s = math.inf
+    for _ in range(int(duration_s / 0.05)):
         fleet.world.run(0.05)
-        is_known = len(fleet.members) == count and all(r.knows() for r in fleet.members.values())
-        if is_known and known_after_s == math.inf and len(fleet.crashes) > 2:
-            known_after_s = fleet.loop.now() - fleet.crashes[2]
-    return fleet, known_after_s
+        all_block = len(fleet.members) == count and all(
+            r.blocks_request() for r in fleet.members.values()
+        )
+        if all_block and blocked_after_s == math.inf and len(fleet.crashes) > 2:
+            blocked_after_s = fleet.loop.now() - fleet.crashes[2]
+    return fleet, blocked_after_s
 
 
 def main():
     EVENT_LOG._output = -1
     print(
-        "| routers | trouble | after ends | plays | all know after s, most "
-        "| ends, most | late, most | datagrams | bytes each |"
+        "| routers | failure | after crashes | runs | all block after s, most "
+        "| crashes, most | late, most | datagrams | bytes each |"
     )
     print("| --- | --- | --- | --- | --- | --- | --- | --- | --- |")
     sizes = [int(size) for size in sys.argv[1].split(",")]
-    plays = int(sys.argv[2])
+    runs = int(sys.argv[2])
     for count in sizes:
-        for trouble in TROUBLES:
+        for failure in FAILURES:
             for after in (1, 3):
-                rows = [play(seed, count, trouble, trouble_after=after) for seed in range(plays)]
+                rows = [
+                    simulate(seed, count, failure, crashes_before=after) for seed in range(runs)
+                ]
                 fleets = [fleet for fleet, _ in rows]
                 datagrams = statistics.mean(fleet.datagrams for fleet in fleets)
                 size = statistics.mean(fleet.bytes / max(1, fleet.datagrams) for fleet in fleets)
                 print(
-                    f"| {count} | {trouble} | {after} | {plays} | {max(s for _, s in rows):.2f} "
+                    f"| {count} | {failure} | {after} | {runs} | {max(s for _, s in rows):.2f} "
                     f"| {max(len(fleet.crashes) for fleet in fleets)} "
                     f"| {max(fleet.late_arrivals() for fleet in fleets)} "
                     f"| {datagrams:.0f} | {size:.0f} |",
--- a/tests/router/blame_world.py
+++ b/tests/router/crash_world.py
@@ -1,9 +1,9 @@
 """Helpers for tests of crash records: scripted probes and runners, requests, a tracker."""
 
 from martenrun.net.http import HttpRequest
-from martenrun.router.crash_watch import RunnerKnowledge
+from martenrun.router.crash_detector import RunnerView
+from martenrun.router.crash_tracker import CrashTracker
 from martenrun.router.messages import Admitted, Call, Tenant
-from martenrun.router.suspects import Suspects
 
 from .builders import route
 
@@ -15,17 +15,17 @@
 
     def __init__(self):
         self.refused = set()
-        self.unclear = set()
+        self.inconclusive = set()
         self.silent = set()
-        self.asked = []
+        self.probed = []
 
-    def __call__(self, loop, address, on_answer):
-        self.asked.append(address)
+    def __call__(self, loop, address, on_result):
+        self.probed.append(address)
         if address in self.silent:
-            loop.call_later(0.4, lambda: on_answer(None))
+            loop.call_later(0.4, lambda: on_result(None))
         else:
-            answer = None if address in self.unclear else address in self.refused
-            loop.call_later(PROBE_S, lambda: on_answer(answer))
+            result = None if address in self.inconclusive else address in self.refused
+            loop.call_later(PROBE_S, lambda: on_result(result))
 
 
 class Runners:
@@ -33,23 +33,23 @@
 
     def __init__(self):
         self.unlisted = set()
-        self.ended = set()
-        self.at = {}
+        self.restarted = set()
+        self.listed_at = {}
         self.connected = set()
 
-    def knowledge(self):
-        return RunnerKnowledge(
+    def view(self):
+        return RunnerView(
             is_listed=lambda state: state.runner.instance not in self.unlisted,
-            has_ended=lambda runner: runner.instance in self.ended,
-            others_at=lambda address: self.at.get(address, []),
+            has_restarted=lambda runner: runner.instance in self.restarted,
+            instances_at=lambda address: self.listed_at.get(address, []),
             has_connection=lambda instance: instance in self.connected,
             count=lambda: 8,
         )
 
 
-def suspects(loop, probes=None, runners=None, tell=lambda _news: None):
+def crash_tracker(loop, probes=None, runners=None, broadcast=lambda _update: None):
     """Return the crash tracker of one router."""
-    return Suspects(loop, (runners or Runners()).knowledge(), tell, probes or Probes())
+    return CrashTracker(loop, (runners or Runners()).view(), broadcast, probes or Probes())
 
 
 def request(body=b"b", method=b"POST", target=b"/a/x"):
@@ -60,5 +60,5 @@
 def admitted(tenant="t", host="a.example", **changes):
     """Return an admitted request."""
     call = Call(b"r1", host, "/a/x", b"k1", 3.0, None, (), 0, 0)
-    who = None if tenant is None else Tenant(tenant, 1, False)
-    return Admitted(call, route(**changes), who, "s", 103.0, 102.0)
+    tenant_entry = None if tenant is None else Tenant(tenant, 1, False)
+    return Admitted(call, route(**changes), tenant_entry, "s", 103.0, 102.0)
--- a/tests/router/quota_world.py
+++ b/tests/router/quota_world.py
@@ -15,13 +15,13 @@
 
 BOUNDS = QuotaBounds(window_s=8.0, over_share=0.1, slack_units=110_000.0)
 
-UDP_HEAD_BYTES = 28
+UDP_HEADER_BYTES = 28
 
 PROMPT_TOKENS = (9_190, 9_190, 875, 875, 875, 200)
 """Units of callers' requests, chosen at random: long prompts, short queries, plain requests."""
 
 
-class LinkedWorld(GossipWorld):
+class PartitionedWorld(GossipWorld):
     """A simulation in which some routers cannot reach others.
 
     ``groups`` maps each router that is cut off to its partition; all others share one.
@@ -33,7 +33,7 @@
         self.bytes_sent = 0
         self.datagrams = 0
 
-    def carry(self, sender, address, data):
+    def deliver(self, sender, address, data):
         """Send a datagram unless the routers are in different partitions."""
         if self.groups.get(sender) == self.groups.get(address):
             self.send(address, data)
@@ -53,7 +53,7 @@
     ):
         self.rng = random.Random(seed)
         self.bounds = bounds
-        self.world = LinkedWorld(seed, delays_s=(0.001, 0.002))
+        self.world = PartitionedWorld(seed, delays_s=(0.001, 0.002))
         self.loop = self.world.loop
         self.loss = loss
         self.limit = limit or RateLimit(333_366.0, 333_366.0, True, 200)
@@ -75,8 +75,8 @@
         stage = QuotaStage.ESTABLISHED if is_first_start else QuotaStage.JOINING
         self.world.start(address, seeds, address.split(".")[1], quota_stage=stage.value)
         peers = self.world.routers[address]
-        peers._send = lambda to, data: self.world.carry(address, to, data)
-        peers.tell = lambda to, message: self._tell(address, peers, to, message)
+        peers._send = lambda to, data: self.world.deliver(address, to, data)
+        peers.tell = lambda to, message: self._send(address, peers, to, message)
         settings = RouterSettings(
             name=address,
             zone="z",
@@ -101,16 +101,16 @@
         gate = QuotaGate(
             self.loop, peers, address, owners, lambda: self.configuration, lambda: settings
         )
-        peers._on_quota = gate.take
+        peers._on_quota = gate.handle_message
         peers._refresh = lambda own: setattr(own, "quota_stage", gate.stage().value)
         self.gates[address] = gate
-        self._keep_house(address, gate)
+        self._run_maintenance(address, gate)
 
-    def _keep_house(self, address, gate):
+    def _run_maintenance(self, address, gate):
         if self.gates.get(address) is gate:
             if not self.world.routers[address].is_still:
-                gate.keep_house()
-            self.loop.call_later(0.25, lambda: self._keep_house(address, gate))
+                gate.run_maintenance()
+            self.loop.call_later(0.25, lambda: self._run_maintenance(address, gate))
 
     def stop(self, address):
         """Kill a router; its callers are refused until it is restarted."""
@@ -148,9 +148,9 @@
         self.limit = limit
         self.in_force.append((self.now(), limit))
 
-    def _tell(self, sender, peers, addresses, message):
+    def _send(self, sender, peers, addresses, message):
         for address in addresses:
-            self.quota_bytes += len(encode(message)) + UDP_HEAD_BYTES
+            self.quota_bytes += len(encode(message)) + UDP_HEADER_BYTES
             self.quota_datagrams += 1
             if self.rng.random() >= self.loss:
                 type(peers)._send_to(peers, [address], message)
@@ -163,24 +163,24 @@
 
     # Callers
 
-    def ask(self, tenant, units, address=None):
+    def request(self, tenant, units, address=None):
         """Send one request to a router; if granted, it reaches a runner at once."""
         router = address or self.rng.choice(self.addresses)
         gate = self.gates.get(router)
         if gate is None or self.world.routers[router].is_still:
             return
-        began = self.loop.now()
+        requested_at = self.loop.now()
 
         def decided(grant):
             if self.gates.get(router) is not gate:
                 return
-            self.waits_s.append(self.loop.now() - began)
+            self.waits_s.append(self.loop.now() - requested_at)
             if grant.is_granted:
                 self.arrived.append((self.now(), tenant, units))
             else:
                 self.refused.append((self.now(), tenant, units, grant.wait_s))
 
-        gate.ask(tenant, self.limit, units, decided)
+        gate.request(tenant, self.limit, units, decided)
 
     def load(self, tenant, units_per_s, for_s, routers=None):
         """Let a tenant request units at a mean rate, at random times and routers."""
@@ -192,7 +192,7 @@
                 return
             units = self.rng.choice(PROMPT_TOKENS)
             address = self.rng.choice(routers) if routers else None
-            self.loop.call_later(at_s, lambda u=units, a=address: self.ask(tenant, u, a))
+            self.loop.call_later(at_s, lambda u=units, a=address: self.request(tenant, u, a))
 
     # Requests that reached runners
 
@@ -206,7 +206,7 @@
 
     def most_in_window(self, tenant="t", since=0.0):
         """Return the most units that reached runners within a window."""
-        runs = [(at, units) for at, who, units in self.arrived if who == tenant and at >= since]
+        runs = [(at, units) for at, name, units in self.arrived if name == tenant and at >= since]
         times = [at for at, _ in runs]
         sums = [0]
         for _, units in runs:
@@ -221,6 +221,6 @@
 
     def refused_share(self, tenant="t", since=0.0):
         """Return the fraction of a tenant's requests that were refused."""
-        refused = sum(who == tenant and at >= since for at, who, *_ in self.refused)
-        served = sum(who == tenant and at >= since for at, who, _ in self.arrived)
+        refused = sum(name == tenant and at >= since for at, name, *_ in self.refused)
+        served = sum(name == tenant and at >= since for at, name, _ in self.arrived)
         return refused / max(1, refused + served)
--- a/tests/router/test_blame_page.py
+++ b/tests/router/test_crash_page.py
@@ -6,7 +6,7 @@
 
 from martenrun.cli.main import main
 
-DEADLY = b"ends who runs it"
+DEADLY = b"crashes its runner"
 
 
 @pytest.fixture(scope="module")
@@ -21,18 +21,18 @@
     return CliRunner().invoke(main, ["blame", address, *options])
 
 
-def test_a_deadly_request_is_listed_explained_and_cleared_everywhere(deployment):
+def test_crash_causing_request_is_listed_explained_and_cleared_at_all_routers(deployment):
     first, second = deployment.routers
     statuses = []
 
-    def is_held_back():
+    def is_blocked():
         number = len(statuses)
         statuses.append(deployment.ask("/once/x", f"d-{number}", first, body=DEADLY).status)
         return "held back" in blame(second).output
 
-    deployment.wait(is_held_back)
-    answer = deployment.ask("/once/x", "d-last", second, body=DEADLY)
-    assert answer.status == 503 and float(answer.headers["Retry-After"]) > 60
+    deployment.wait(is_blocked)
+    response = deployment.ask("/once/x", "d-last", second, body=DEADLY)
+    assert response.status == 503 and float(response.headers["Retry-After"]) > 60
     fingerprint = blame(first).output.split()[0]
     assert "3 starts ended" in blame(first).output
     metrics = deployment.http.request("GET", first.url("internal", "/metrics")).data
@@ -49,7 +49,7 @@
     assert "held back" not in blame(second).output
 
 
-def test_what_is_not_known_cannot_be_cleared(deployment):
+def test_unknown_request_cannot_be_cleared(deployment):
     router = deployment.routers[0]
     assert "List what it knows first" in blame(router, "--clear", "00" * 24).output
     assert "Give a listed fingerprint" in blame(router, "--clear", "no hex").output
--- a/tests/router/test_deadly_requests.py
+++ b/tests/router/test_deadly_requests.py
@@ -21,14 +21,14 @@
 from martenrun.cli.main import main
 
 DEADLY = b"a body that crashes who runs it"
-AWAY_S = 2.0
-KNOWN_WITHIN_S = 3.0
+DOWN_S = 2.0
+BLOCKED_WITHIN_S = 3.0
 ARRIVALS_LEFT = 3
-"""Arrivals allowed later than KNOWN_WITHIN_S after the third crash."""
+"""Arrivals allowed later than BLOCKED_WITHIN_S after the third crash."""
 
 DEADLY_PAUSE_S = 0.25
 
-LATE_COMINGS = 15
+LATE_ATTEMPTS = 15
 """Number of further attempts with the crash-causing request, about four seconds."""
 
 INNOCENT_CALLERS = 4
@@ -41,27 +41,27 @@
         self._deployment = deployment
         self._rng = random.Random(seed)
         self._numbers = itertools.count()
-        self._ends = threading.Event()
+        self._stopped = threading.Event()
         self.statuses = {"deadly": [], "innocent": []}
         self._pool = ThreadPoolExecutor(INNOCENT_CALLERS + 1)
-        self._pool.submit(self._call_on, "deadly", DEADLY_PAUSE_S)
+        self._pool.submit(self._call_repeatedly, "deadly", DEADLY_PAUSE_S)
         for _ in range(INNOCENT_CALLERS):
-            self._pool.submit(self._call_on, "innocent", 0.02)
+            self._pool.submit(self._call_repeatedly, "innocent", 0.02)
 
-    def _call_on(self, kind, pause_s):
-        while not self._ends.wait(pause_s):
+    def _call_repeatedly(self, kind, pause_s):
+        while not self._stopped.wait(pause_s):
             number = next(self._numbers)
             body = DEADLY if kind == "deadly" else b"body %d" % number
             router = self._rng.choice(self._deployment.routers)
             at = time.monotonic()
             try:
-                answer = self._deployment.ask("/once/x", f"{kind}-{number}", router, body=body)
-                self.statuses[kind].append((at, answer.status))
+                response = self._deployment.ask("/once/x", f"{kind}-{number}", router, body=body)
+                self.statuses[kind].append((at, response.status))
             except (urllib3.exceptions.HTTPError, OSError):
                 self.statuses[kind].append((at, 0))
 
     def stop(self):
-        self._ends.set()
+        self._stopped.set()
         self._pool.shutdown()
 
 
@@ -75,16 +75,16 @@
     third_at = third_crash_at(deployment)
     assert third_at is not None, "fewer than three runners crashed"
     arrivals = [run.at for r in deployment.runners for run in r.runs if run.body == DEADLY]
-    return [at - third_at for at in sorted(arrivals) if at > third_at + KNOWN_WITHIN_S]
+    return [at - third_at for at in sorted(arrivals) if at > third_at + BLOCKED_WITHIN_S]
 
 
-def wait_for_answers(deployment, callers, after, count):
+def wait_for_responses(deployment, callers, after, count):
     """Wait for responses to crash-causing requests that were sent after a time."""
 
-    def has_come():
+    def has_enough():
         return sum(at > after for at, _ in list(callers.statuses["deadly"])) >= count
 
-    deployment.wait(has_come)
+    deployment.wait(has_enough)
 
 
 def served_share(callers, since):
@@ -95,37 +95,37 @@
 @pytest.mark.parametrize("keeps_id", [False, True], ids=["another id", "the same id"])
 def test_a_deadly_request_reaches_few_runners_of_all_routers(keeps_id):
     with PlatformDeployment(routers=4, model_runners=4) as deployment:
-        deployment.let_crash(lambda body: body == DEADLY, AWAY_S, keeps_id)
+        deployment.let_crash(lambda body: body == DEADLY, DOWN_S, keeps_id)
         callers = Callers(deployment, 1)
         deployment.wait(lambda: third_crash_at(deployment) is not None)
-        known_from = third_crash_at(deployment) + KNOWN_WITHIN_S
-        wait_for_answers(deployment, callers, known_from, LATE_COMINGS)
+        blocked_from = third_crash_at(deployment) + BLOCKED_WITHIN_S
+        wait_for_responses(deployment, callers, blocked_from, LATE_ATTEMPTS)
         callers.stop()
     assert len(late_arrivals(deployment)) <= ARRIVALS_LEFT
     # The crashed runners are back by then, so that innocent callers are served again.
-    assert served_share(callers, third_crash_at(deployment) + KNOWN_WITHIN_S) > 0.99
+    assert served_share(callers, third_crash_at(deployment) + BLOCKED_WITHIN_S) > 0.99
 
 
 def test_routers_that_all_start_anew_know_a_deadly_request():
     with PlatformDeployment(routers=4, model_runners=4) as deployment:
-        deployment.let_crash(lambda body: body == DEADLY, AWAY_S)
+        deployment.let_crash(lambda body: body == DEADLY, DOWN_S)
         callers = Callers(deployment, 2)
         deployment.wait(lambda: third_crash_at(deployment) is not None)
-        known_from = third_crash_at(deployment) + KNOWN_WITHIN_S
-        wait_for_answers(deployment, callers, known_from, 1)
+        blocked_from = third_crash_at(deployment) + BLOCKED_WITHIN_S
+        wait_for_responses(deployment, callers, blocked_from, 1)
         for router in deployment.routers:
             router.process.kill()
             router.process.wait()
             deployment.start(router)
         deployment.wait(lambda: all(deployment.is_ready(r) for r in deployment.routers))
-        wait_for_answers(deployment, callers, time.monotonic(), LATE_COMINGS)
+        wait_for_responses(deployment, callers, time.monotonic(), LATE_ATTEMPTS)
         callers.stop()
     assert len(late_arrivals(deployment)) <= ARRIVALS_LEFT
 
 
 # Guards against lost evidence: the only router that saw a disconnect stopped within seconds, before
 # the crash was proved.
-def test_a_router_that_stops_tells_of_a_runners_end_first():
+def test_stopping_router_reports_a_crash_before_it_exits():
     with PlatformDeployment(2, 1, 1, has_relays=True) as deployment:
         stopping, staying = deployment.routers
         runner = deployment.runners[0]
--- a/tests/router/test_forwarding.py
+++ b/tests/router/test_forwarding.py
@@ -7,7 +7,7 @@
 from martenrun.platform import DIALECT
 from martenrun.router import trail
 from martenrun.router.decisions import DEFAULTS
-from martenrun.router.fingerprint import fingerprint
+from martenrun.router.fingerprint import request_fingerprint
 from martenrun.router.forwarding import Forwarding
 from martenrun.router.knowledge import ConfigurationKnowledge, RunnerDirectory, WeightsKnowledge
 from martenrun.router.messages import Admitted, Call, PromptPart, RouteKind, WantedWeights
@@ -15,8 +15,8 @@
 from martenrun.router.reading_speed import LEAST_SAMPLES
 from martenrun.router.world import World
 
-from .blame_world import Probes, suspects
 from .builders import bounds, configuration, route, state
+from .crash_world import Probes, crash_tracker
 from .fakes import FakeLoop
 
 PARTS = (PromptPart(b"aa", 100), PromptPart(b"bb", 10))
@@ -139,7 +139,7 @@
             weights=self.weights,
             pool=self.pool,
             placement=Placement(),
-            suspects=suspects(self.loop, self.probes),
+            suspects=crash_tracker(self.loop, self.probes),
             node_count=lambda: 1,
             count=lambda outcome, _route, _seconds: self.ends.append(outcome),
             store_works=lambda _store: True,
@@ -327,9 +327,9 @@
     """Let some starts have ended under the request before it comes."""
 
     def blame(played):
-        run = fingerprint(played.exchange.request, played.forwarding.admitted)
+        run = request_fingerprint(played.exchange.request, played.forwarding.admitted)
         for number in range(starts):
-            played.world.suspects.table.note_ended(run, f"gone-{number}", played.loop.now())
+            played.world.suspects.table.record_crash(run, f"gone-{number}", played.loop.now())
         if runners_end:
             played.probes.refused.add(played.states[0].runner.address)
 
@@ -358,9 +358,9 @@
 
 def test_a_suspect_that_runs_whole_is_cleared():
     played = Played([GOOD], before=blamed_for(2)).run(0.1)
-    run = fingerprint(played.exchange.request, played.forwarding.admitted)
+    run = request_fingerprint(played.exchange.request, played.forwarding.admitted)
     assert played.ends == ["served"]
-    assert played.world.suspects.table.starts(run) == 0
+    assert played.world.suspects.table.crash_count(run) == 0
 
 
 def test_all_routers_give_a_suspect_to_one_runner():
@@ -379,5 +379,5 @@
     played.world.runners.put(played.states[0].runner)
     played.world.runners.put(state("i-0~2", name="i-0").runner)
     played.forwarding.leave_ended_runner()
-    run = fingerprint(played.exchange.request, played.forwarding.admitted)
-    assert played.world.suspects.table.starts(run) == 1
+    run = request_fingerprint(played.exchange.request, played.forwarding.admitted)
+    assert played.world.suspects.table.crash_count(run) == 1
--- a/tests/router/test_quota_fleet.py
+++ b/tests/router/test_quota_fleet.py
@@ -25,7 +25,7 @@
 """Time from the start of the routers to the first request, in seconds."""
 
 
-def greedy(routers, limit, seed=1, for_s=24.0, **more):
+def greedy_fleet(routers, limit, seed=1, for_s=24.0, **more):
     """Return a settled fleet at which one tenant requests five times its limit."""
     fleet = QuotaFleet(seed, routers, limit=limit, **more)
     fleet.run(SETTLED_S)
@@ -39,8 +39,8 @@
 
 @SIZES
 @LIMITS
-def test_a_greedy_tenant_gets_its_limit_and_not_more(routers, limit):
-    fleet = greedy(routers, limit)
+def test_greedy_tenant_gets_its_limit_and_no_more(routers, limit):
+    fleet = greedy_fleet(routers, limit)
     fleet.run(26)
     assert_bound_holds(fleet)
     served = sum(units for _, _, units in fleet.arrived)
@@ -50,19 +50,19 @@
 @SIZES
 @LIMITS
 @pytest.mark.parametrize("share", [0.5, 1.0])
-def test_restarts_of_many_forget_nothing(routers, limit, share):
-    fleet = greedy(routers, limit)
+def test_restarts_of_many_routers_lose_no_grants(routers, limit, share):
+    fleet = greedy_fleet(routers, limit)
     for at_s in (6.0, 9.0):
-        some = fleet.rng.sample(fleet.addresses, int(share * routers))
-        fleet.loop.call_later(at_s, lambda some=some: fleet.restart(some, 1.0))
+        sample = fleet.rng.sample(fleet.addresses, int(share * routers))
+        fleet.loop.call_later(at_s, lambda sample=sample: fleet.restart(sample, 1.0))
     fleet.run(26)
     assert_bound_holds(fleet)
 
 
 @SIZES
 @LIMITS
-def test_routers_that_are_cut_off_one_by_one_stay_within_the_bound(routers, limit):
-    fleet = greedy(routers, limit)
+def test_isolated_routers_stay_within_the_bound(routers, limit):
+    fleet = greedy_fleet(routers, limit)
     fleet.run(8.0)
     for number, address in enumerate(fleet.addresses[: routers // 3]):
         fleet.cut([address], number + 1, 10.0)
@@ -73,9 +73,9 @@
 @SIZES
 @LIMITS
 @pytest.mark.parametrize("seed", range(6))
-def test_two_halves_that_are_cut_off_from_each_other_stay_within_the_bound(routers, limit, seed):
+def test_two_partitions_stay_within_the_bound(routers, limit, seed):
     """Either half may contain both owners of the account, one, or none."""
-    fleet = greedy(routers, limit, seed)
+    fleet = greedy_fleet(routers, limit, seed)
     fleet.run(8.0)
     fleet.cut(fleet.rng.sample(fleet.addresses, routers // 2), 1, 10.0)
     fleet.run(18)
@@ -84,43 +84,43 @@
 
 @SIZES
 @LIMITS
-def test_keepers_that_are_killed_one_after_the_other_change_nothing(routers, limit):
-    fleet = greedy(routers, limit)
-    for turn in range(4):
+def test_successive_kills_of_owners_stay_within_the_bound(routers, limit):
+    fleet = greedy_fleet(routers, limit)
+    for number in range(4):
         fleet.run(3.0)
-        keeper = next(iter(fleet.gates.values()))._owners.owners("t")[0]
-        if keeper in fleet.gates:
-            fleet.restart([keeper], 2.0 + turn)
+        owner = next(iter(fleet.gates.values()))._owners.owners("t")[0]
+        if owner in fleet.gates:
+            fleet.restart([owner], 2.0 + number)
     fleet.run(14)
     assert_bound_holds(fleet)
 
 
 @SIZES
 @LIMITS
-@pytest.mark.parametrize("still_s", [0.5, 5.0])
-def test_a_keeper_that_stands_still_and_wakes_does_not_grant_twice(routers, limit, still_s):
-    fleet = greedy(routers, limit)
+@pytest.mark.parametrize("suspended_s", [0.5, 5.0])
+def test_suspended_owner_does_not_grant_units_twice(routers, limit, suspended_s):
+    fleet = greedy_fleet(routers, limit)
     fleet.run(6.0)
-    keeper = next(iter(fleet.gates.values()))._owners.owners("t")[0]
-    fleet.world.stand_still(keeper)
-    fleet.run(still_s)
-    fleet.world.go_on(keeper, still_s)
-    fleet.run(20.0 - still_s)
+    owner = next(iter(fleet.gates.values()))._owners.owners("t")[0]
+    fleet.world.stand_still(owner)
+    fleet.run(suspended_s)
+    fleet.world.go_on(owner, suspended_s)
+    fleet.run(20.0 - suspended_s)
     assert_bound_holds(fleet)
 
 
 @LIMITS
 @pytest.mark.parametrize("loss", [0.04, 0.1])
-def test_lost_datagrams_let_nothing_more_pass(limit, loss):
-    fleet = greedy(8, limit, loss=loss)
+def test_lost_datagrams_stay_within_the_bound(limit, loss):
+    fleet = greedy_fleet(8, limit, loss=loss)
     fleet.run(26)
     assert_bound_holds(fleet)
 
 
 @SIZES
 @LIMITS
-def test_routers_that_join_take_accounts_over_as_they_stand(routers, limit):
-    fleet = greedy(routers, limit)
+def test_joining_routers_take_over_account_balances(routers, limit):
+    fleet = greedy_fleet(routers, limit)
     for number in range(routers // 2):
         address = f"10.9.0.{number + 1}:7"
         fleet.addresses.append(address)
@@ -129,8 +129,8 @@
     assert_bound_holds(fleet)
 
 
-def test_a_lower_limit_binds_within_a_window():
-    fleet = greedy(8, LARGE)
+def test_lowered_limit_applies_within_one_window():
+    fleet = greedy_fleet(8, LARGE)
     fleet.run(6.0)
     fleet.change_limit(SMALL)
     changed_at = fleet.now()
@@ -138,8 +138,8 @@
     assert fleet.worst_window(since=changed_at) <= 1.0
 
 
-def test_a_raised_limit_may_be_used_at_once():
-    fleet = greedy(8, SMALL)
+def test_raised_limit_is_available_immediately():
+    fleet = greedy_fleet(8, SMALL)
     fleet.run(8.0)
     fleet.change_limit(LARGE)
     changed_at = fleet.now()
@@ -153,7 +153,7 @@
 # Tenants within their limits are not refused
 
 
-def conforming(fleet, tenant, limit, for_s, part=0.9, routers=None):
+def schedule_conforming(fleet, tenant, limit, for_s, part=0.9, routers=None):
     """Schedule bursts at a fraction of the rate that the burst allows; return their count."""
     left, at_s, count = limit.burst_units, 0.0, 0
     rng = fleet.rng
@@ -169,17 +169,17 @@
         at_s += 0.001
         left = min(limit.burst_units, left + 0.001 * part * limit.units_per_s)
         address = rng.choice(routers) if routers else None
-        fleet.loop.call_later(at_s, lambda u=units, a=address: fleet.ask(tenant, u, a))
+        fleet.loop.call_later(at_s, lambda u=units, a=address: fleet.request(tenant, u, a))
     return count
 
 
 @pytest.mark.parametrize("few", [False, True], ids=["all routers", "two routers"])
 @LIMITS
-def test_who_keeps_within_rate_and_burst_is_never_refused(limit, few):
+def test_tenants_within_rate_and_burst_are_never_refused(limit, few):
     fleet = QuotaFleet(3, 16, limit=limit)
     fleet.run(SETTLED_S)
     routers = fleet.addresses[:2] if few else None
-    count = sum(conforming(fleet, f"t{n}", limit, 20.0, routers=routers) for n in range(8))
+    count = sum(schedule_conforming(fleet, f"t{n}", limit, 20.0, routers=routers) for n in range(8))
     fleet.run(23.0)
     assert count > 500
     assert fleet.refused == []
@@ -187,10 +187,10 @@
 
 
 @LIMITS
-def test_as_a_keeper_ends_nobody_within_its_limit_is_refused(limit):
+def test_tenant_within_its_limit_is_not_refused_when_an_owner_restarts(limit):
     fleet = QuotaFleet(4, 16, limit=limit)
     fleet.run(SETTLED_S)
-    conforming(fleet, "t", limit, 20.0)
+    schedule_conforming(fleet, "t", limit, 20.0)
     fleet.run(6.0)
     fleet.restart([fleet.gates[fleet.addresses[0]]._owners.owners("t")[0]], 3.0)
     fleet.run(16.0)
@@ -198,7 +198,7 @@
     assert max(fleet.waits_s) < 0.08
 
 
-def test_a_restart_of_all_refuses_one_within_its_usual_for_no_window():
+def test_restart_of_all_routers_refuses_a_moderate_tenant_for_less_than_a_window():
     fleet = QuotaFleet(5, 16, limit=LARGE)
     fleet.run(SETTLED_S)
     fleet.load("t", 0.55 * LARGE.units_per_s, 20.0)
@@ -210,7 +210,7 @@
 
 
 @LIMITS
-def test_a_restart_of_all_refuses_those_within_their_usual_for_no_window(limit):
+def test_restart_of_all_routers_refuses_moderate_tenants_for_less_than_a_window(limit):
     """Of many tenants, some send requests to seeds that do not own their accounts."""
     fleet = QuotaFleet(5, 16, limit=limit)
     fleet.run(SETTLED_S)
@@ -225,15 +225,15 @@
         assert fleet.refused_share(tenant, since=SETTLED_S + 9.0) < 0.01
 
 
-def test_a_greedy_tenant_takes_nothing_from_others():
-    fleet = greedy(8, SMALL)
+def test_greedy_tenant_does_not_affect_other_tenants():
+    fleet = greedy_fleet(8, SMALL)
     fleet.load("other", 0.3 * SMALL.units_per_s, 20.0)
     fleet.run(24.0)
-    assert [who for _, who, *_ in fleet.refused if who == "other"] == []
+    assert [name for _, name, *_ in fleet.refused if name == "other"] == []
 
 
-def test_refused_callers_are_told_when_tokens_are_there_and_spread():
-    fleet = greedy(8, LARGE)
+def test_retry_delays_are_bounded_and_spread():
+    fleet = greedy_fleet(8, LARGE)
     fleet.run(10.0)
     waits = [wait_s for *_, wait_s in fleet.refused]
     assert min(waits) > 0 and max(waits) <= BOUNDS.window_s
@@ -244,7 +244,7 @@
 # Routers of another version
 
 
-def test_routers_of_before_rates_are_not_asked():
+def test_routers_without_rate_limits_are_not_asked():
     fleet = QuotaFleet(6, 8, limit=LARGE)
     old = fleet.addresses[:4]
     for address in old:
@@ -259,14 +259,14 @@
         assert not set(gate._owners.owners("t")) & set(old)
 
 
-def test_a_record_of_an_older_router_names_no_keeper():
+def test_record_of_an_older_router_has_no_quota_stage():
     new = router_record("a", quota_stage=2)
     assert decode(encode(Gossip([new]))).records[0].quota_stage == 2
-    of_before = msgspec.msgpack.decode(msgspec.msgpack.encode(new))[:-1]
-    assert msgspec.convert(of_before, RouterRecord).quota_stage == 0
+    without_stage = msgspec.msgpack.decode(msgspec.msgpack.encode(new))[:-1]
+    assert msgspec.convert(without_stage, RouterRecord).quota_stage == 0
 
 
-def test_a_record_with_more_fields_than_are_known_can_be_read():
+def test_record_with_unknown_fields_can_be_decoded():
     """Routers of a later version append fields."""
-    later = [*msgspec.msgpack.decode(msgspec.msgpack.encode(router_record("a"))), "more", 7]
-    assert msgspec.convert(later, RouterRecord).address == "a"
+    extended = [*msgspec.msgpack.decode(msgspec.msgpack.encode(router_record("a"))), "more", 7]
+    assert msgspec.convert(extended, RouterRecord).address == "a"
--- a/tests/router/test_rate_limits_read.py
+++ b/tests/router/test_rate_limits_read.py
@@ -14,22 +14,22 @@
     return configuration.tenants_by_key[b"k"]
 
 
-def test_a_limit_in_tokens():
+def test_limit_in_tokens():
     tenant = tenant_of(rate_per_s=333_366, burst=7, unit="token_count", plain_tokens=200)
     assert tenant.limit == RateLimit(333_366.0, 7.0, True, 200)
 
 
-def test_a_limit_in_requests():
+def test_limit_in_requests():
     assert tenant_of(rate_per_s=2.5, burst=3).limit == RateLimit(2.5, 3.0, False, 1)
 
 
 @pytest.mark.parametrize("fields", [{}, {"rate_per_s": 0}, {"rate_per_s": 0, "burst": 5}])
-def test_no_rate_is_no_limit(fields):
+def test_tenant_without_rate_has_no_limit(fields):
     assert tenant_of(**fields).limit is None
 
 
 @pytest.mark.parametrize("fields", [{}, {"plain_tokens": 0}])
-def test_a_request_without_tokens_is_never_free(fields):
+def test_request_without_tokens_counts_at_least_one_unit(fields):
     limit = tenant_of(rate_per_s=10, unit="token_count", **fields).limit
     assert limit.units(None) == 1
 
@@ -54,6 +54,6 @@
         {"rate_per_s": 10, "unit": "token_count", "plain_tokens": "200"},
     ],
 )
-def test_a_limit_that_cannot_be_read_is_an_error_that_names_it(fields):
+def test_invalid_limit_error_names_the_field(fields):
     with pytest.raises(UnreadableError, match=r"tenants\[0\]|number|range|int"):
         tenant_of(**fields)
--- a/tests/router/test_runner_access.py
+++ b/tests/router/test_runner_access.py
@@ -18,7 +18,7 @@
 class FakeGrant:
     is_granted: bool
     wait_s: float = WAIT_S
-    is_alone: bool = False
+    is_isolated: bool = False
     is_decided: bool = True
     owner: str = "r1"
     balance: float = 0.0
@@ -29,17 +29,17 @@
 class FakeGate:
     """Grants a fixed number of requests, each decided after a delay."""
 
-    def __init__(self, loop, left=0, delay_s=0.002, is_alone=False):
+    def __init__(self, loop, left=0, delay_s=0.002, is_isolated=False):
         self.loop = loop
         self.left = left
         self.delay_s = delay_s
-        self.is_alone = is_alone
+        self.is_isolated = is_isolated
         self.asked = []
         self.given_back = 0
 
-    def ask(self, account, limit, units, on_decided, version):
+    def request(self, account, limit, units, on_decided, version):
         self.asked.append(account)
-        grant = FakeGrant(self.left > 0, is_alone=self.is_alone, is_decided=False)
+        grant = FakeGrant(self.left > 0, is_isolated=self.is_isolated, is_decided=False)
         self.left -= grant.is_granted
 
         def decide():
@@ -167,7 +167,7 @@
 
 def test_router_without_account_owners_sends_a_probe():
     def before(played):
-        limit_runners(played, "i-0", is_alone=True)
+        limit_runners(played, "i-0", is_isolated=True)
         played.loop.time += 60.0 if is_probe_due else 0.0
 
     for is_probe_due in (False, True):
--- a/tests/router/test_tenant_rates.py
+++ b/tests/router/test_tenant_rates.py
@@ -35,45 +35,46 @@
 class Tenants:
     """Callers of several tenants, each with a fixed request rate, at random routers."""
 
-    def __init__(self, deployment, per_s_of):
+    def __init__(self, deployment, rates_per_s):
         self._deployment = deployment
         self._rng = random.Random(7)
         self._numbers = itertools.count()
-        self._ends = threading.Event()
-        self.answers = {name: [] for name in per_s_of}
+        self._stopped = threading.Event()
+        self.responses = {name: [] for name in rates_per_s}
         self._pool = ThreadPoolExecutor(32)
         self._threads = [
-            threading.Thread(target=self._come, args=item, daemon=True) for item in per_s_of.items()
+            threading.Thread(target=self._call_repeatedly, args=item, daemon=True)
+            for item in rates_per_s.items()
         ]
         for thread in self._threads:
             thread.start()
 
-    def _come(self, name, per_s):
-        while not self._ends.wait(1.0 / per_s):
+    def _call_repeatedly(self, name, per_s):
+        while not self._stopped.wait(1.0 / per_s):
             self._pool.submit(self._call, name, next(self._numbers))
 
     def _call(self, name, number):
         router = self._rng.choice(self._deployment.routers)
-        began = time.monotonic()
+        sent_at = time.monotonic()
         try:
-            answer = self._deployment.ask("/once/x", f"{name}-{number}", router, f"key-{name}")
-            taken_s = time.monotonic() - began
-            retry_after = answer.headers.get("Retry-After")
-            self.answers[name].append((answer.status, taken_s, retry_after, number))
+            response = self._deployment.ask("/once/x", f"{name}-{number}", router, f"key-{name}")
+            duration_s = time.monotonic() - sent_at
+            retry_after = response.headers.get("Retry-After")
+            self.responses[name].append((response.status, duration_s, retry_after, number))
         except (urllib3.exceptions.HTTPError, OSError):
-            self.answers[name].append((0, time.monotonic() - began, None, number))
+            self.responses[name].append((0, time.monotonic() - sent_at, None, number))
 
     def stop(self):
-        self._ends.set()
+        self._stopped.set()
         for thread in self._threads:
             thread.join()
         self._pool.shutdown()
 
     def statuses(self, name):
-        return [status for status, *_ in self.answers[name]]
+        return [status for status, *_ in self.responses[name]]
 
-    def numbered(self, name):
-        return [(f"{name}-{number}", status) for status, _, _, number in self.answers[name]]
+    def statuses_by_request(self, name):
+        return [(f"{name}-{number}", status) for status, _, _, number in self.responses[name]]
 
 
 def most_in_window(deployment, name):
@@ -83,7 +84,7 @@
     return TOKENS * max(sum(at <= t <= at + WINDOW_S for t in times) for at in times)
 
 
-def trails(deployment, request_ids):
+def log_lines(deployment, request_ids):
     """Return the routers' log lines about some requests."""
     lines = [line for r in deployment.routers for line in r.log.read_text().splitlines()]
     return [line for line in lines if any(f'"{name}"' in line for name in request_ids)]
@@ -94,11 +95,11 @@
     with PlatformDeployment(routers=ROUTERS, model_runners=4) as running:
         running.more_tenants = [tenant("greedy"), tenant("modest"), tenant("restarted")]
         running.publish(2)
-        running.wait(lambda: knows(running, "restarted"))
+        running.wait(lambda: is_known(running, "restarted"))
         yield running
 
 
-def knows(deployment, name):
+def is_known(deployment, name):
     """Whether all routers know a tenant's key."""
     return all(
         deployment.ask("/once/x", f"first-{name}-{n}", router, f"key-{name}").status != 401
@@ -106,21 +107,21 @@
     )
 
 
-def test_a_greedy_tenant_gets_its_rate_and_a_modest_one_all_that_it_asks(deployment):
+def test_greedy_tenant_gets_its_rate_and_modest_tenant_is_not_refused(deployment):
     callers = Tenants(deployment, {"greedy": 40, "modest": 6})
-    deployment.wait(lambda: len(callers.answers["greedy"]) >= 40 * 10)
+    deployment.wait(lambda: len(callers.responses["greedy"]) >= 40 * 10)
     callers.stop()
     assert most_in_window(deployment, "greedy") <= ALLOWED
     assert most_in_window(deployment, "greedy") >= 0.9 * RATE * WINDOW_S
-    refused = [number for number, status in callers.numbered("modest") if status != 200]
-    assert refused == [], trails(deployment, refused)
+    refused = [number for number, status in callers.statuses_by_request("modest") if status != 200]
+    assert refused == [], log_lines(deployment, refused)
     assert set(callers.statuses("greedy")) == {200, 429}
-    refused = [answer for answer in callers.answers["greedy"] if answer[0] == 429]
+    refused = [response for response in callers.responses["greedy"] if response[0] == 429]
     assert all(0 < float(retry_after) <= WINDOW_S for _, _, retry_after, _ in refused)
-    assert sorted(taken_s for _, taken_s, *_ in refused)[len(refused) // 2] < 0.1
+    assert sorted(duration_s for _, duration_s, *_ in refused)[len(refused) // 2] < 0.1
 
 
-def test_operators_see_accounts_and_why_a_request_was_refused(deployment):
+def test_operators_see_accounts_and_reasons_of_refusals(deployment):
     addresses = [r.url("internal", "").removeprefix("http://") for r in deployment.routers]
     listed = CliRunner().invoke(main, ["quotas", *addresses, "--tenant", "greedy"]).output
     assert len(listed.splitlines()) >= 2 and f"{RATE} a second" in listed
@@ -140,15 +141,15 @@
     assert none.exit_code == 1 and "internal ports" in none.output
 
 
-def test_routers_that_all_start_anew_forget_nothing(deployment):
+def test_restart_of_all_routers_loses_no_grants(deployment):
     callers = Tenants(deployment, {"restarted": 40})
-    deployment.wait(lambda: len(callers.answers["restarted"]) >= 40 * 6)
+    deployment.wait(lambda: len(callers.responses["restarted"]) >= 40 * 6)
     for router in deployment.routers:
         router.process.kill()
         router.process.wait()
         deployment.start(router)
     deployment.wait(lambda: all(deployment.is_ready(r) for r in deployment.routers))
-    count = len(callers.answers["restarted"])
-    deployment.wait(lambda: len(callers.answers["restarted"]) >= count + 40 * 5)
+    count = len(callers.responses["restarted"])
+    deployment.wait(lambda: len(callers.responses["restarted"]) >= count + 40 * 5)
     callers.stop()
     assert most_in_window(deployment, "restarted") <= ALLOWED
--- a/tests/router/unguarded_router.py
+++ b/tests/router/unguarded_router.py
@@ -89,16 +89,16 @@
 
 def hold_nothing_back():
     """Send whatever comes to runners, however many have ended under it."""
-    from martenrun.router.blame_table import BlameTable
+    from martenrun.router.crash_table import CrashTable
 
-    BlameTable.held_for_s = lambda self, fingerprint, now: 0.0
+    CrashTable.blocked_for_s = lambda self, fingerprint, now: 0.0
 
 
 def grant_whatever_is_asked():
     """Let tenants use as much as they ask for."""
-    from martenrun.router.quotas.account import Account, Verdict
+    from martenrun.router.quotas.account import Account, QuotaDecision
 
-    Account.ask = lambda self, grant, units, now: Verdict(True)
+    Account.request = lambda self, grant, units, now: QuotaDecision(True)
 
 
 def ignore_runner_limits():
