--- a/src/martenrun/router/fingerprint.py
+++ b/src/martenrun/router/fingerprint.py
@@ -11,7 +11,7 @@
 from martenrun.router.messages import Admitted
 
 PREFIX_BYTES = 8
-"""Length of a fingerprint's prefix: the caller's checksum and a checksum of the request's head."""
+"""Length of the prefix: checksums of the caller and of the request's head, 4 bytes each."""
 
 CALLER_BYTES = 4
 
@@ -35,8 +35,8 @@
 
 def request_fingerprint(request: HttpRequest, admitted: Admitted) -> bytes:
     """Return the fingerprint of a request, which is equal for repetitions of the same request."""
-    start = fingerprint_prefix(request, admitted)
-    digest = hashlib.blake2b(start, digest_size=DIGEST_BYTES)
+    prefix = fingerprint_prefix(request, admitted)
+    digest = hashlib.blake2b(prefix, digest_size=DIGEST_BYTES)
     digest.update(b"%b %b\0" % (request.method, request.target))
     digest.update(request.body)
-    return start + digest.digest()
+    return prefix + digest.digest()
--- a/tests/router/crash_fleet.py
+++ b/tests/router/crash_fleet.py
@@ -115,9 +115,9 @@
         self.store = CrashRecordStore(self.loop)
         self.rng = self.world.rng
         if lost_share:
-            of = 20
-            lost = round(lost_share * of)
-            self.world._copies = (0,) * lost + (1,) * (of - lost)
+            total = 20
+            lost = round(lost_share * total)
+            self.world._copies = (0,) * lost + (1,) * (total - lost)
         self.arrivals = []
         self.crashes = []
         self.datagrams = 0
--- a/tests/router/test_crash_page.py
+++ b/tests/router/test_crash_page.py
@@ -6,13 +6,13 @@
 
 from martenrun.cli.main import main
 
-DEADLY = b"crashes its runner"
+CRASHING = b"crashes its runner"
 
 
 @pytest.fixture(scope="module")
 def deployment():
     with PlatformDeployment(routers=2, model_runners=3) as running:
-        running.let_crash(lambda body: body == DEADLY, 1.0)
+        running.let_crash(lambda body: body == CRASHING, 1.0)
         yield running
 
 
@@ -27,11 +27,11 @@
 
     def is_blocked():
         number = len(statuses)
-        statuses.append(deployment.ask("/once/x", f"d-{number}", first, body=DEADLY).status)
+        statuses.append(deployment.ask("/once/x", f"d-{number}", first, body=CRASHING).status)
         return "held back" in blame(second).output
 
     deployment.wait(is_blocked)
-    response = deployment.ask("/once/x", "d-last", second, body=DEADLY)
+    response = deployment.ask("/once/x", "d-last", second, body=CRASHING)
     assert response.status == 503 and float(response.headers["Retry-After"]) > 60
     fingerprint = blame(first).output.split()[0]
     assert "3 starts ended" in blame(first).output
--- a/tests/router/test_crash_tracker.py
+++ b/tests/router/test_crash_tracker.py
@@ -23,8 +23,8 @@
 from .crash_world import Probes, admitted, crash_tracker, request
 from .fakes import FakeLoop, FakeStore
 
-DEADLY = request(b"deadly")
-FINGERPRINT = request_fingerprint(DEADLY, admitted())
+CRASHING = request(b"deadly")
+FINGERPRINT = request_fingerprint(CRASHING, admitted())
 
 
 class Routers:
@@ -60,7 +60,7 @@
 
     def crash(self, router, instance):
         """Let a runner crash while serving the crash-causing request at one router."""
-        self.trackers[router].handle_disconnect(state(instance), DEADLY, admitted())
+        self.trackers[router].handle_disconnect(state(instance), CRASHING, admitted())
 
     def run(self, seconds):
         self.loop.run_until(self.loop.time + seconds)
@@ -111,18 +111,20 @@
     routers = Routers(3)
     routers.crash(0, "i-0")
     routers.run(0.01)
-    routers.trackers[1].record_completion(routers.trackers[1].known_fingerprint(DEADLY, admitted()))
+    routers.trackers[1].record_completion(
+        routers.trackers[1].known_fingerprint(CRASHING, admitted())
+    )
     routers.run(0.01)
     assert [tracker.table.crash_count(FINGERPRINT) for tracker in routers.trackers] == [0, 0, 0]
 
 
 def test_digest_is_computed_only_for_known_prefixes():
     tracker = crash_tracker(FakeLoop())
-    assert tracker.known_fingerprint(DEADLY, admitted()) is None
+    assert tracker.known_fingerprint(CRASHING, admitted()) is None
     tracker.table.record_crash(FINGERPRINT, "i-1", 100.0)
     assert tracker.known_fingerprint(request(b"another length"), admitted()) is None
     assert tracker.known_fingerprint(request(b"deadlY"), admitted()) is None
-    assert tracker.known_fingerprint(DEADLY, admitted()) == FINGERPRINT
+    assert tracker.known_fingerprint(CRASHING, admitted()) == FINGERPRINT
 
 
 def test_few_routers_send_records_to_a_joining_router():
--- a/tests/router/test_deadly_requests.py
+++ b/tests/router/test_deadly_requests.py
@@ -20,13 +20,13 @@
 
 from martenrun.cli.main import main
 
-DEADLY = b"a body that crashes who runs it"
+CRASHING = b"a body that crashes who runs it"
 DOWN_S = 2.0
 BLOCKED_WITHIN_S = 3.0
 ARRIVALS_LEFT = 3
 """Arrivals allowed later than BLOCKED_WITHIN_S after the third crash."""
 
-DEADLY_PAUSE_S = 0.25
+CRASHING_PAUSE_S = 0.25
 
 LATE_ATTEMPTS = 15
 """Number of further attempts with the crash-causing request, about four seconds."""
@@ -44,14 +44,14 @@
         self._stopped = threading.Event()
         self.statuses = {"deadly": [], "innocent": []}
         self._pool = ThreadPoolExecutor(INNOCENT_CALLERS + 1)
-        self._pool.submit(self._call_repeatedly, "deadly", DEADLY_PAUSE_S)
+        self._pool.submit(self._call_repeatedly, "deadly", CRASHING_PAUSE_S)
         for _ in range(INNOCENT_CALLERS):
             self._pool.submit(self._call_repeatedly, "innocent", 0.02)
 
     def _call_repeatedly(self, kind, pause_s):
         while not self._stopped.wait(pause_s):
             number = next(self._numbers)
-            body = DEADLY if kind == "deadly" else b"body %d" % number
+            body = CRASHING if kind == "deadly" else b"body %d" % number
             router = self._rng.choice(self._deployment.routers)
             at = time.monotonic()
             try:
@@ -74,7 +74,7 @@
     """Return when the crash-causing body arrived after all routers should have blocked it."""
     third_at = third_crash_at(deployment)
     assert third_at is not None, "fewer than three runners crashed"
-    arrivals = [run.at for r in deployment.runners for run in r.runs if run.body == DEADLY]
+    arrivals = [run.at for r in deployment.runners for run in r.runs if run.body == CRASHING]
     return [at - third_at for at in sorted(arrivals) if at > third_at + BLOCKED_WITHIN_S]
 
 
@@ -95,7 +95,7 @@
 @pytest.mark.parametrize("keeps_id", [False, True], ids=["another id", "the same id"])
 def test_a_deadly_request_reaches_few_runners_of_all_routers(keeps_id):
     with PlatformDeployment(routers=4, model_runners=4) as deployment:
-        deployment.let_crash(lambda body: body == DEADLY, DOWN_S, keeps_id)
+        deployment.let_crash(lambda body: body == CRASHING, DOWN_S, keeps_id)
         callers = Callers(deployment, 1)
         deployment.wait(lambda: third_crash_at(deployment) is not None)
         blocked_from = third_crash_at(deployment) + BLOCKED_WITHIN_S
@@ -108,7 +108,7 @@
 
 def test_routers_that_all_start_anew_know_a_deadly_request():
     with PlatformDeployment(routers=4, model_runners=4) as deployment:
-        deployment.let_crash(lambda body: body == DEADLY, DOWN_S)
+        deployment.let_crash(lambda body: body == CRASHING, DOWN_S)
         callers = Callers(deployment, 2)
         deployment.wait(lambda: third_crash_at(deployment) is not None)
         blocked_from = third_crash_at(deployment) + BLOCKED_WITHIN_S
@@ -130,13 +130,13 @@
         stopping, staying = deployment.routers
         runner = deployment.runners[0]
         relay = deployment.relays[runner.instance]
-        runner.is_deadly = lambda body: body == DEADLY
+        runner.is_deadly = lambda body: body == CRASHING
         # New connections are accepted and closed at once for a while, then refused.
         runner.on_crash = lambda _runner: relay.cut()
         ordered_at = time.monotonic()
         deployment.stop(stopping)
         deployment.wait(lambda: time.monotonic() > ordered_at + 2.5)
-        assert deployment.ask("/once/x", "d-1", stopping, body=DEADLY).status == 502
+        assert deployment.ask("/once/x", "d-1", stopping, body=CRASHING).status == 502
         deployment.wait(lambda: time.monotonic() > ordered_at + 3.7)
         relay.refuse()
         assert stopping.process.wait(timeout=10) == 0
--- a/tests/router/test_quota_fleet.py
+++ b/tests/router/test_quota_fleet.py
@@ -153,7 +153,7 @@
 # Tenants within their limits are not refused
 
 
-def schedule_conforming(fleet, tenant, limit, for_s, part=0.9, routers=None):
+def schedule_conforming(fleet, tenant, limit, for_s, rate_fraction=0.9, routers=None):
     """Schedule bursts at a fraction of the rate that the burst allows; return their count."""
     left, at_s, count = limit.burst_units, 0.0, 0
     rng = fleet.rng
@@ -161,13 +161,13 @@
         units = rng.choice(PROMPT_TOKENS)
         if left < units or rng.random() < 0.05:
             pause_s = rng.uniform(0.2, 1.5)
-            left = min(limit.burst_units, left + pause_s * part * limit.units_per_s)
+            left = min(limit.burst_units, left + pause_s * rate_fraction * limit.units_per_s)
             at_s += pause_s
             continue
         left -= units
         count += 1
         at_s += 0.001
-        left = min(limit.burst_units, left + 0.001 * part * limit.units_per_s)
+        left = min(limit.burst_units, left + 0.001 * rate_fraction * limit.units_per_s)
         address = rng.choice(routers) if routers else None
         fleet.loop.call_later(at_s, lambda u=units, a=address: fleet.request(tenant, u, a))
     return count
