--- a/src/martenrun/router/fingerprint.py
+++ b/src/martenrun/router/fingerprint.py
@@ -1,7 +1,7 @@
-"""Which requests are the same one that comes again: alike in caller, method, target and body.
+"""Identifies repeated requests: equal in caller, method, target and body.
 
-The digest of a body is made only where something of the same outline is suspected, or has ended a
-runner: with nothing suspected a request costs nothing.
+The digest of a body is computed only if a request with the same prefix has a crash record or was
+served by a crashed runner.  Without crash records requests cost nothing.
 """
 
 import hashlib
@@ -10,17 +10,17 @@
 from martenrun.net.http import HttpRequest
 from martenrun.router.messages import AdmittedRequest
 
-OUTLINE_BYTES = 8
-"""The caller's tag (4 bytes) and the outline (4 bytes) that a fingerprint begins with."""
+PREFIX_BYTES = 8
+"""Length of the prefix: checksums of the caller and of the request's head, 4 bytes each."""
 
 CALLER_BYTES = 4
 
 DIGEST_BYTES = 16
-"""Bytes of the digest: 128 bits, so that no two bodies share one by chance."""
+"""Length of the digest: 128 bits make collisions negligible."""
 
 
-def outline(request: HttpRequest, admitted: AdmittedRequest) -> bytes:
-    """Return what a fingerprint begins with, without a look at the body's bytes."""
+def fingerprint_prefix(request: HttpRequest, admitted: AdmittedRequest) -> bytes:
+    """Return the prefix of a request's fingerprint, which does not depend on the body's content."""
     tenant = admitted.tenant
     caller = b"" if tenant is None else tenant.name.encode()
     tag = zlib.crc32(caller)
@@ -30,13 +30,13 @@
         request.target,
         len(request.body),
     )
-    return tag.to_bytes(CALLER_BYTES) + zlib.crc32(head, tag).to_bytes(OUTLINE_BYTES - CALLER_BYTES)
+    return tag.to_bytes(CALLER_BYTES) + zlib.crc32(head, tag).to_bytes(PREFIX_BYTES - CALLER_BYTES)
 
 
-def fingerprint(request: HttpRequest, admitted: AdmittedRequest) -> bytes:
-    """Return what is alike for all comings of one request, and for no other."""
-    start = outline(request, admitted)
-    digest = hashlib.blake2b(start, digest_size=DIGEST_BYTES)
+def request_fingerprint(request: HttpRequest, admitted: AdmittedRequest) -> bytes:
+    """Return the fingerprint of a request, which is equal for repetitions of the same request."""
+    prefix = fingerprint_prefix(request, admitted)
+    digest = hashlib.blake2b(prefix, digest_size=DIGEST_BYTES)
     digest.update(b"%b %b\0" % (request.method, request.target))
     digest.update(request.body)
-    return start + digest.digest()
+    return prefix + digest.digest()
--- a/src/martenrun/router/forwarding.py
+++ b/src/martenrun/router/forwarding.py
@@ -90,9 +90,9 @@
             self._start_routing()
         else:
             # Requests over their tenant's limit do not count as demand in overload control.
-            reason = "over_limit" if grant.is_sure else "limit_unsure"
-            status = STATUS_TOO_MANY_REQUESTS if grant.is_sure else STATUS_UNAVAILABLE
-            self._refuse(reason, grant.wait_s if grant.is_sure else 0.0, status)
+            reason = "over_limit" if grant.is_conclusive else "limit_unsure"
+            status = STATUS_TOO_MANY_REQUESTS if grant.is_conclusive else STATUS_UNAVAILABLE
+            self._refuse(reason, grant.wait_s if grant.is_conclusive else 0.0, status)
 
     def _start_routing(self) -> None:
         self._runner_choice.record_demand()
@@ -156,7 +156,7 @@
             self._runner_choice.record_admitted()
         self._runner_choice.tried_instances.append(state.runner.instance)
         self._attempted_instances.append(state.runner.instance)
-        self._quota.note_sent()
+        self._quota.record_sent()
         request = self._exchange.request
         placement = services.placement
         query = self._runner_choice.placement_query()
@@ -204,14 +204,14 @@
         if self._caller_stream.has_partial_event:
             self.on_failure(Failure.BROKEN, attempt)
             return
-        self._services.suspects.note_whole(self._runner_choice.known_fingerprint())
+        self._services.suspects.record_completion(self._runner_choice.known_fingerprint())
         self._caller_stream.start_response(attempt)
         self._exchange.end()
         self._end("served", attempt)
 
     def on_response_complete(self, attempt: Attempt) -> None:
         """Return a complete buffered response, or retry a server error of a repeatable request."""
-        self._services.suspects.note_whole(self._runner_choice.known_fingerprint())
+        self._services.suspects.record_completion(self._runner_choice.known_fingerprint())
         if attempt.status >= STATUS_SERVER_ERROR and self._admitted.route.may_repeat:
             self.on_failure(Failure.RUN_FAILED, attempt)
         else:
@@ -231,18 +231,18 @@
         self._attempt = None
         may_have_run = failure in (Failure.BROKEN, Failure.RUN_FAILED)
         self._possible_runs += may_have_run
-        self._quota.note_failed(may_have_run)
+        self._quota.record_failure(may_have_run)
         self._caller_stream.discard_partial_event()
         if not attempt.was_interrupted:
             self._continue(failure, attempt)
             return
         suspects = self._services.suspects
-        suspects.note_broken(attempt.state, self._exchange.request, self._admitted)
+        suspects.handle_disconnect(attempt.state, self._exchange.request, self._admitted)
         if self._admitted.route.may_repeat:
             # Wait for the crash check: it finds within milliseconds whether the runner crashed
             # while serving this request.
             instance = attempt.state.runner.instance
-            suspects.watch.when_known(instance, lambda: self._continue(failure, attempt))
+            suspects.detector.call_when_resolved(instance, lambda: self._continue(failure, attempt))
         else:
             self._continue(failure, attempt)
 
@@ -364,7 +364,7 @@
         if attempt is not None and self._services.runners.is_replaced(attempt.state.runner):
             attempt.cancel()
             request = self._exchange.request
-            self._services.suspects.note_left(attempt.state, request, self._admitted)
+            self._services.suspects.record_restart(attempt.state, request, self._admitted)
             self.on_failure(Failure.BROKEN, attempt)
 
     def shut_down(self) -> None:
@@ -375,7 +375,7 @@
         if self.is_over:
             return
         self.is_over = True
-        grant = self._quota.last
+        grant = self._quota.last_grant
         self._quota.close()
         self._runner_access.close()
         self._timer.cancel()
--- a/src/martenrun/router/gauges.py
+++ b/src/martenrun/router/gauges.py
@@ -50,6 +50,6 @@
         Sample("store_lost", sources.keeper.has_lost_store),
         Sample("lease_held", sources.lease.is_held()),
         Sample("requests_blamed", len(crash_records)),
-        Sample("requests_held_back", len(crash_records.held(now))),
+        Sample("requests_held_back", len(crash_records.blocked(now))),
         Sample("quota_accounts", 0 if services.quotas is None else len(services.quotas)),
     ]
--- a/src/martenrun/router/peer_updates.py
+++ b/src/martenrun/router/peer_updates.py
@@ -2,7 +2,7 @@
 
 from collections.abc import Sequence
 
-from martenrun.router.blame_messages import BlameNews
+from martenrun.router.crash_messages import CrashUpdate
 from martenrun.router.limit_messages import LimitUpdate
 from martenrun.router.peer_messages import LeaseUpdate, UnresponsiveRunnerUpdate
 from martenrun.router.peers import Update
@@ -19,8 +19,8 @@
         roller.handle_lease_release(update)
     elif isinstance(update, UnresponsiveRunnerUpdate):
         record_unresponsive(world, update, now)
-    elif isinstance(update, BlameNews):
-        world.suspects.take(update)
+    elif isinstance(update, CrashUpdate):
+        world.suspects.handle_update(update)
     elif isinstance(update, LimitUpdate):
         world.runner_limits.merge(update, now)
     else:
@@ -33,6 +33,6 @@
     Args:
         routers: the number of known routers.
     """
-    blame = world.suspects.newcomer_news(routers)
+    blame = world.suspects.update_for_joining_router(routers)
     limits = world.runner_limits.new_router_update(world.loop.now())
     return [update for update in (blame, limits) if update is not None]
--- a/src/martenrun/router/platform_adapter.py
+++ b/src/martenrun/router/platform_adapter.py
@@ -9,7 +9,7 @@
 import attrs
 
 from martenrun.net.http import Headers, HttpRequest
-from martenrun.router.blame_messages import BlameRecord
+from martenrun.router.crash_messages import CrashRecord
 from martenrun.router.messages import (
     Call,
     Configuration,
@@ -92,8 +92,8 @@
     read_runner: Callable[[StoredObject], Runner]
     read_weights: Callable[[StoredObject], TargetWeights]
     read_lease: Callable[[StoredObject], LeaseRecord]
-    read_crash_records: Callable[[StoredObject], list[BlameRecord]]
-    crash_records_spec: Callable[[list[BlameRecord]], object]
+    read_crash_records: Callable[[StoredObject], list[CrashRecord]]
+    crash_records_spec: Callable[[list[CrashRecord]], object]
     read_peer_addresses: Callable[[StoredObject], list[str]]
     peer_addresses_spec: Callable[[Sequence[str]], object]
     lease_spec: Callable[[LeaseRecord], object]
--- a/src/martenrun/router/process.py
+++ b/src/martenrun/router/process.py
@@ -7,8 +7,9 @@
 from martenrun.net.loop import Loop
 from martenrun.net.server import Exchange, Server
 from martenrun.router.admission import Admission, Refusal, send_refusal
-from martenrun.router.blame_store import BlameStore
-from martenrun.router.crash_watch import RunnerKnowledge
+from martenrun.router.crash_detector import RunnerView
+from martenrun.router.crash_record_writer import CrashRecordWriter
+from martenrun.router.crash_tracker import CrashTracker
 from martenrun.router.denials import DenialRecheck
 from martenrun.router.forwarding import RequestForwarder
 from martenrun.router.gauges import GaugeSources, read_gauges
@@ -36,7 +37,6 @@
 from martenrun.router.store_state import ConfigurationState, RunnerDirectory, WeightsState
 from martenrun.router.store_state_feed import StoreStateFeed
 from martenrun.router.store_sync import StoreSync, StoreSyncParts
-from martenrun.router.suspects import Suspects
 from martenrun.router.tuning import DEFAULTS, TuningParameters, load_tuning_parameters
 from martenrun.router.unresponsive_runners import newly_unresponsive, record_unresponsive
 from martenrun.router.weights_rollout import WeightsRollout
@@ -79,7 +79,7 @@
             weights=WeightsState(),
             pool=RunnerPool(self._loop),
             placement=Placement(decisions.placement),
-            suspects=Suspects(
+            suspects=CrashTracker(
                 self._loop,
                 self._crash_watch_queries(),
                 lambda update: self._peers.broadcast(update),
@@ -123,7 +123,7 @@
             lambda instance: self._loads.mark_outdated(instance),
             lambda sums: self._loads.merge_zone_loads(sums),
             lambda routers: updates_for_new_router(self._services, routers),
-            lambda message: self._quotas.take(message),
+            lambda message: self._quotas.handle_message(message),
         )
         self._quotas = self._services.quotas = self._create_quota_gate(settings)
         self._loads = LoadExchange(self._services.pool, self._peers)
@@ -146,7 +146,7 @@
             ),
             self._feed.confirm,
         )
-        self._blame_store = BlameStore(
+        self._blame_store = CrashRecordWriter(
             self._loop,
             self._store,
             adapter,
@@ -211,12 +211,12 @@
             0.0 if settings.is_first_start else settings.bounds.budget_window_s
         )
 
-    def _crash_watch_queries(self) -> RunnerKnowledge:
+    def _crash_watch_queries(self) -> RunnerView:
         """Return the queries that the crash watch makes to components constructed after it."""
-        return RunnerKnowledge(
+        return RunnerView(
             is_listed=lambda state: self._services.pool.state(state.runner.instance) is state,
-            has_ended=lambda runner: self._services.runners.is_replaced(runner),
-            others_at=lambda address: self._services.runners.instances_at(address),
+            has_restarted=lambda runner: self._services.runners.is_replaced(runner),
+            instances_at=lambda address: self._services.runners.instances_at(address),
             has_connection=lambda instance: self._services.pool.has_idle_connection(instance),
             count=lambda: len(self._services.runners.runners),
         )
@@ -250,7 +250,7 @@
         self._services.runner_limits.forget_unlisted(
             self._services.runners.runners, self._loop.now()
         )
-        self._services.suspects.watch.look_again()
+        self._services.suspects.detector.check_replaced()
         self._rollout.schedule_step()
 
     # Other routers
@@ -361,10 +361,10 @@
             update = UnresponsiveRunnerUpdate(self._peers.own.address, instance)
             record_unresponsive(self._services, update, now)
             self._peers.broadcast(update)
-        self._services.suspects.keep_house()
+        self._services.suspects.run_maintenance()
         self._services.runner_limits.repeat_broadcasts(now)
-        self._blame_store.check()
-        self._quotas.keep_house()
+        self._blame_store.write_if_due()
+        self._quotas.run_maintenance()
         self._rollout.schedule_step()
         if self._settings_source.stamp() != self._settings_stamp:
             self._reload()
@@ -382,7 +382,7 @@
         elif now > stop.closes_idle_at:
             self._front.shut_down_idle()
             is_idle = not self._forwarders and self._front.connections == 0
-            if is_idle and not self._services.suspects.watch.has_open_cases():
+            if is_idle and not self._services.suspects.detector.is_investigating():
                 self._loop.stop()
 
 
--- a/src/martenrun/router/quotas/ledger.py
+++ b/src/martenrun/router/quotas/ledger.py
@@ -1,23 +1,26 @@
-"""The accounts of one router.  Pure, with the times handed in."""
+"""The accounts held by one router.
+
+Callers pass in the time; nothing here reads a clock.
+"""
 
 from collections.abc import Callable, Sequence
 
 import attrs
 
-from martenrun.router.quotas.account import Account, Part, PastUse, Verdict
+from martenrun.router.quotas.account import Account, LimitShare, PastUse, QuotaDecision
 from martenrun.router.quotas.limit import QuotaBounds, display_name
-from martenrun.router.quotas.messages import QuotaAsk, QuotaUse
+from martenrun.router.quotas.messages import QuotaRequest, QuotaUse
 
-KEPT_FOR_S = 120.0
-"""For how long an account is kept that nobody asks for, in seconds: it is full again by then."""
+MAX_IDLE_S = 120.0
+"""Idle time after which an account is dropped, in seconds; it has refilled by then."""
 
-MOST_ACCOUNTS = 20_000
-"""Most accounts kept; above that those unused for longest go."""
+MAX_ACCOUNTS = 20_000
+"""Maximum number of accounts; beyond it the least recently used ones are dropped."""
 
 
 @attrs.frozen
 class AccountView:
-    """An account as operators see it; units, and units a second."""
+    """An account as shown to operators, in units and units per second."""
 
     tenant: str
     left: float
@@ -27,16 +30,18 @@
 
 
 class Ledger:
-    """Accounts by tenant.
+    """Accounts by name.
 
     Args:
         bounds: returns the enforcement bounds for an account.
-        part: returns the part of each limit that accounts here may grant, by tenant.
+        share: returns the share of a limit that an account here may grant, by account name.
     """
 
-    def __init__(self, bounds: Callable[[str], QuotaBounds], part: Callable[[str], Part]) -> None:
+    def __init__(
+        self, bounds: Callable[[str], QuotaBounds], share: Callable[[str], LimitShare]
+    ) -> None:
         self._bounds = bounds
-        self._part = part
+        self._share = share
         self._accounts: dict[str, Account] = {}
         self._stale: set[str] = set()
 
@@ -44,58 +49,61 @@
         return len(self._accounts)
 
     def has(self, tenant: str) -> bool:
-        """Whether there is an account of a tenant here, current or not."""
+        """Whether a tenant has an account here, current or stale."""
         return tenant in self._accounts
 
     def is_current(self, tenant: str) -> bool:
-        """Whether there is an account here that counts every grant."""
+        """Whether a tenant has an account here that counts every grant."""
         return tenant in self._accounts and tenant not in self._stale
 
     def put(self, tenant: str, account: Account, now: float) -> None:
-        """Take a current account in, in place of an earlier one.
+        """Store a current account, replacing an earlier one.
 
-        The earlier one counted at least what was granted here, which the new one may not.
+        The earlier account counted all grants made here.  If the new one does not cover a full
+        window, its balance is capped at the earlier one's.
         """
-        earlier = self._accounts.get(tenant)
-        if earlier is not None and account.covered_s(now) < self._bounds(tenant).window_s:
-            account.lower_to(earlier.level(now), now)
-        while len(self._accounts) >= MOST_ACCOUNTS and tenant not in self._accounts:
+        previous = self._accounts.get(tenant)
+        if previous is not None and account.covered_s(now) < self._bounds(tenant).window_s:
+            account.cap_balance(previous.level(now), now)
+        while len(self._accounts) >= MAX_ACCOUNTS and tenant not in self._accounts:
             self._drop(min(self._accounts, key=lambda name: self._accounts[name].used_at))
         self._accounts[tenant] = account
         self._stale.discard(tenant)
 
-    def mark_stale(self, is_informed: Callable[[str], bool]) -> None:
-        """Note which accounts miss grants, since the owners do not replicate them to here."""
-        self._stale.update(tenant for tenant in self._accounts if not is_informed(tenant))
+    def mark_stale(self, receives_uses: Callable[[str], bool]) -> None:
+        """Mark the accounts whose grants are not replicated to this router as stale."""
+        self._stale.update(tenant for tenant in self._accounts if not receives_uses(tenant))
 
-    def ask(self, ask: QuotaAsk, now: float) -> Verdict | None:
-        """Grant units of a tenant's account, or not; None if the asker has given up."""
-        account = self._accounts[ask.tenant]
-        account.learn(ask.limit, self._bounds(ask.tenant), self._part(ask.tenant), now)
-        return account.ask((ask.asker, ask.number), ask.units, now)
+    def request(self, request: QuotaRequest, now: float) -> QuotaDecision | None:
+        """Grant units of a tenant's account; return None if the requester returned the grant."""
+        account = self._accounts[request.tenant]
+        account.update_limit(
+            request.limit, self._bounds(request.tenant), self._share(request.tenant), now
+        )
+        return account.request((request.requester, request.number), request.units, now)
 
-    def note_use(self, use: QuotaUse, now: float) -> None:
-        """Count what was used elsewhere, or not used after all."""
+    def record_use(self, use: QuotaUse, now: float) -> None:
+        """Apply a use that another router reported."""
         account = self._accounts[use.tenant]
-        account.learn(use.limit, self._bounds(use.tenant), self._part(use.tenant), now)
-        account.note_use((use.asker, use.number), use.units, now)
+        account.update_limit(use.limit, self._bounds(use.tenant), self._share(use.tenant), now)
+        account.record_use((use.requester, use.number), use.units, now)
 
-    def count_late(self, tenant: str, uses: Sequence[PastUse], now: float) -> None:
-        """Count uses of the last window that are heard of late, if there is an account here."""
+    def record_late_uses(self, tenant: str, uses: Sequence[PastUse], now: float) -> None:
+        """Count uses of the last window that were reported late, if there is an account."""
         account = self._accounts.get(tenant)
         if account is not None:
             known = {use.key for use in account.recent_uses(now)}
             for use in uses:
                 if use.key not in known and use.at >= account.covered_since:
-                    account.note_use(use.key, use.units, now)
+                    account.record_use(use.key, use.units, now)
 
     def recent_uses(self, tenant: str, now: float) -> list[PastUse]:
-        """Return the uses of a tenant that are known here, none without an account."""
+        """Return the uses of a tenant known here; empty without an account."""
         account = self._accounts.get(tenant)
         return [] if account is None else account.recent_uses(now)
 
     def balance(self, tenant: str, now: float) -> float:
-        """Return the units that a tenant has left here, 0 without an account."""
+        """Return the remaining units of a tenant; 0 without an account."""
         account = self._accounts.get(tenant)
         return 0.0 if account is None else account.level(now)
 
@@ -104,7 +112,7 @@
         return self._accounts[tenant].covered_s(now)
 
     def views(self, now: float) -> list[AccountView]:
-        """Return what operators see, tenants with least left first."""
+        """Return the accounts as shown to operators, lowest balance first."""
         views = [
             AccountView(
                 tenant=display_name(tenant),
@@ -117,12 +125,12 @@
         ]
         return sorted(views, key=lambda view: view.left / max(1.0, view.per_s))
 
-    def forget_idle(self, now: float) -> None:
-        """Drop accounts that nobody has asked for long."""
+    def drop_idle(self, now: float) -> None:
+        """Drop accounts that have not been used recently."""
         idle = [
             tenant
             for tenant, account in self._accounts.items()
-            if now - account.used_at > KEPT_FOR_S
+            if now - account.used_at > MAX_IDLE_S
         ]
         for tenant in idle:
             self._drop(tenant)
--- a/src/martenrun/router/quotas/owners.py
+++ b/src/martenrun/router/quotas/owners.py
@@ -1,8 +1,8 @@
-"""Which routers own a tenant's account: by rendezvous hashing over those that are alive.
+"""Selects the routers that own an account by rendezvous hashing over the live routers.
 
-Two own each account, so that the second goes on where the first ends.  A router that is starting
-does not know of all others yet and would choose by itself: it asks a seed, which forwards the
-question.
+Each account has two owners, so that the second can take over when the first fails.  A router that
+is starting does not know all other routers yet and would select different owners.  It sends its
+requests to a seed instead, which forwards them.
 """
 
 import math
@@ -13,18 +13,18 @@
 from martenrun.router.peer_messages import RouterRecord
 from martenrun.router.quotas.messages import QuotaStage
 
-OWNERS = 2
-"""Routers that own each account."""
+OWNERS_PER_ACCOUNT = 2
+"""Number of routers that own each account."""
 
-MOST_ASKED = 3
-"""Most routers that are asked one after the other."""
+MAX_ROUTERS_ASKED = 3
+"""Maximum number of routers that are asked one after the other."""
 
 REFRESH_INTERVAL_S = 0.1
-"""How often it is looked at who is alive, in seconds."""
+"""How often the set of live routers is refreshed, in seconds."""
 
 
 class Membership(Protocol):
-    """What is needed of the knowledge about the other routers."""
+    """The required view of the other routers."""
 
     @property
     def own(self) -> RouterRecord:
@@ -34,20 +34,20 @@
         """Return the records of the other routers that are alive."""
 
     def silent_since(self) -> list[float]:
-        """Return when each router that counts as dead was last heard of, in steady seconds."""
+        """Return when each router considered dead was last heard from, in monotonic seconds."""
 
     def is_settled(self) -> bool:
-        """Whether others have been heard for long enough to know most of them."""
+        """Whether this router has received gossip long enough to know most routers."""
 
 
 class AccountOwners:
-    """Chooses by what this router knows of the others.
+    """Selects the owners of accounts by this router's membership view.
 
     Args:
-        now: returns the steady time.
+        now: returns the monotonic time.
         members: the routers of the deployment.
-        is_starting: returns whether this router's view of the others may still be incomplete.
-        seeds: internal addresses of some routers, the same for all.
+        is_starting: returns whether this router's membership view may still be incomplete.
+        seeds: internal addresses of the seed routers, identical at all routers.
     """
 
     def __init__(
@@ -63,60 +63,59 @@
         self._is_starting = is_starting
         self._seeds = [seed for seed in seeds if seed != self._own]
         self._refreshed_at = -math.inf
-        self._seen_share = 1.0
+        self._visible_fraction = 1.0
         self._candidates: list[str] = []
         self._participants: list[str] = []
         self._stages: dict[str, int] = {}
         self._ranked: dict[str, list[str]] = {}
-        self._previous: list[str] = []
+        self._previous_candidates: list[str] = []
 
     def owners(self, tenant: str) -> list[str]:
         """Return the addresses of the routers that own a tenant's account."""
-        return self._ranking(tenant)[:OWNERS]
+        return self._ranking(tenant)[:OWNERS_PER_ACCOUNT]
 
     def previous_owners(self, tenant: str) -> list[str]:
-        """Return who owned a tenant's account before routers last came or went in this view."""
-        return ranked(tenant.encode(), self._previous)[:OWNERS]
+        """Return the owners of a tenant's account before the last change of membership."""
+        return ranked(tenant.encode(), self._previous_candidates)[:OWNERS_PER_ACCOUNT]
 
     def is_substitute(self, tenant: str) -> bool:
-        """Whether this router, asked for a tenant's units, stands in for others that own them.
+        """Whether this router decides requests for an account that other routers own.
 
-        While all routers have just started, whoever is asked is as good as any.
+        While all routers are starting, any router that is asked counts as an owner.
         """
         if self._own in self.owners(tenant):
             return False
         others = (stage for at, stage in self._stages.items() if at != self._own)
         return not self._is_starting() or QuotaStage.ESTABLISHED in others
 
-    def notified(self, tenant: str) -> list[str]:
-        """Return who is told of what is granted: the owners.
+    def replication_targets(self, tenant: str) -> list[str]:
+        """Return the routers that receive the uses of a tenant's account.
 
-        While one of the first three has just started, whoever takes the third for an owner in its
-        place must know as well.
+        These are the owners.  While one of the first three in the ranking has started recently, the
+        third is included, because routers that do not know the new one yet consider it an owner.
         """
         ranking = self._ranking(tenant)
         is_new = any(self._stages[address] == QuotaStage.JOINING for address in ranking)
-        return ranking[: MOST_ASKED if is_new else OWNERS]
+        return ranking[: MAX_ROUTERS_ASKED if is_new else OWNERS_PER_ACCOUNT]
 
-    def asked(self, tenant: str) -> list[str]:
-        """Return who is asked for a tenant's units, in that order.
+    def request_order(self, tenant: str) -> list[str]:
+        """Return the routers to ask for a tenant's units, in order.
 
-        Of the two owners the one that has run for long comes first: it need not recover the
-        account.
+        The owner that has run longer comes first because it need not recover the account.
         """
         ranking = self._ranking(tenant)
         if self._seeds and self._is_starting():
-            seeds = ranked(tenant.encode(), self._seeds)[: MOST_ASKED - 1]
+            seeds = ranked(tenant.encode(), self._seeds)[: MAX_ROUTERS_ASKED - 1]
             return seeds + (ranking[:1] if self._members.is_settled() else [])
-        owners = ranking[:OWNERS]
+        owners = ranking[:OWNERS_PER_ACCOUNT]
         owners.sort(key=lambda address: -self._stages[address])
-        return owners + ranking[OWNERS:MOST_ASKED]
+        return owners + ranking[OWNERS_PER_ACCOUNT:MAX_ROUTERS_ASKED]
 
-    def forwards_to(self, tenant: str) -> str | None:
-        """Return the router to which a question for an account owned elsewhere is forwarded.
+    def forwarding_target(self, tenant: str) -> str | None:
+        """Return the router to which a request for an account owned elsewhere is forwarded.
 
-        A router that is starting forwards to one that knows what was granted before, as soon as it
-        has heard of one.
+        A router that is starting forwards to an established owner, which knows earlier grants, as
+        soon as it has learned of one.
         """
         owners = self.owners(tenant)
         if self._is_starting():
@@ -129,43 +128,45 @@
         return None if self._own in owners or not owners else owners[0]
 
     def participants(self) -> list[str]:
-        """Return the other living routers that answer for grants, those about to leave included."""
+        """Return the other live routers that take part in recalls, including leaving ones."""
         self._refresh()
         return self._participants
 
-    def departed_at(self) -> tuple[float, ...]:
-        """Return when each router that counts as dead was last heard of, in steady seconds."""
+    def departure_times(self) -> tuple[float, ...]:
+        """Return when each router considered dead was last heard from, in monotonic seconds."""
         return tuple(self._members.silent_since())
 
-    def knows_all(self) -> bool:
-        """Whether this router's view of the others is complete, as far as it can tell."""
+    def has_complete_view(self) -> bool:
+        """Whether this router's membership view is complete as far as it can tell."""
         return self._members.is_settled() and not self._is_starting()
 
-    def seen_share(self) -> float:
-        """Return the part of all routers that this one sees.
+    def visible_fraction(self) -> float:
+        """Return the fraction of all routers that this one sees.
 
-        Those that it has lost sight of may be cut off and grant theirs, or have ended: nothing
-        tells the two apart.
+        Routers out of sight may have stopped, or may be cut off and grant their own shares; the two
+        cases cannot be distinguished.
         """
         self._refresh()
-        return self._seen_share
+        return self._visible_fraction
 
     def _ranking(self, tenant: str) -> list[str]:
         self._refresh()
         found = self._ranked.get(tenant)
         if found is None:
-            found = self._ranked[tenant] = ranked(tenant.encode(), self._candidates)[:MOST_ASKED]
+            found = self._ranked[tenant] = ranked(tenant.encode(), self._candidates)[
+                :MAX_ROUTERS_ASKED
+            ]
         return found
 
     def _refresh(self) -> None:
-        """Rank anew if routers have come or gone."""
+        """Recompute the ranking if the membership has changed."""
         now = self._now()
         if now - self._refreshed_at < REFRESH_INTERVAL_S:
             return
         self._refreshed_at = now
         others = self._members.live()
         records = [self._members.own, *others]
-        self._seen_share = len(records) / (len(records) + len(self._members.silent_since()))
+        self._visible_fraction = len(records) / (len(records) + len(self._members.silent_since()))
         self._participants = [
             record.address for record in others if record.quota_stage > QuotaStage.NONE
         ]
@@ -176,5 +177,5 @@
         }
         candidates = sorted(self._stages)
         if candidates != self._candidates:
-            self._previous, self._candidates = self._candidates, candidates
+            self._previous_candidates, self._candidates = self._candidates, candidates
             self._ranked.clear()
--- a/src/martenrun/router/request_services.py
+++ b/src/martenrun/router/request_services.py
@@ -6,6 +6,7 @@
 
 from martenrun.identity.rendezvous import weight
 from martenrun.net.loop import Loop
+from martenrun.router.crash_tracker import CrashTracker
 from martenrun.router.messages import KvCacheStore, Route
 from martenrun.router.overload import OverloadGuard
 from martenrun.router.placement import Placement
@@ -17,7 +18,6 @@
 from martenrun.router.runner_state import RunnerState
 from martenrun.router.settings import RouterSettings
 from martenrun.router.store_state import ConfigurationState, RunnerDirectory, WeightsState
-from martenrun.router.suspects import Suspects
 from martenrun.router.tuning import TuningParameters
 
 OLD_WEIGHTS_MARGIN_S = 0.9
@@ -55,7 +55,7 @@
     weights: WeightsState
     pool: RunnerPool
     placement: Placement
-    suspects: Suspects
+    suspects: CrashTracker
     router_count: Callable[[], int]
     record_outcome: Callable[[str, Route, float], None]
     is_store_available: Callable[[KvCacheStore], bool]
--- a/src/martenrun/router/runner_choice.py
+++ b/src/martenrun/router/runner_choice.py
@@ -53,12 +53,12 @@
         """Return the request's fingerprint if there are crash records to compare it with."""
         if self._fingerprint is None:
             suspects = self._world.suspects
-            self._fingerprint = suspects.fingerprint(self._request, self._admitted)
+            self._fingerprint = suspects.known_fingerprint(self._request, self._admitted)
         return self._fingerprint
 
     def blocked_for_s(self) -> float:
         """Return for how long requests like this one are blocked, in seconds; 0 if they are not."""
-        return self._world.suspects.held_for_s(self.known_fingerprint())
+        return self._world.suspects.blocked_for_s(self.known_fingerprint())
 
     # Rate limits of runners
 
--- /dev/null
+++ b/tests/router/crash_world.py
@@ -0,0 +1,64 @@
+"""Helpers for tests of crash records: scripted probes and runners, requests, a tracker."""
+
+from martenrun.net.http import HttpRequest
+from martenrun.router.crash_detector import RunnerView
+from martenrun.router.crash_tracker import CrashTracker
+from martenrun.router.messages import AdmittedRequest, Call, Tenant
+
+from .builders import route
+
+PROBE_S = 0.003
+
+
+class Probes:
+    """Answers probes by address: refused, accepted, inconclusive, or no result in time."""
+
+    def __init__(self):
+        self.refused = set()
+        self.inconclusive = set()
+        self.silent = set()
+        self.probed = []
+
+    def __call__(self, loop, address, on_result):
+        self.probed.append(address)
+        if address in self.silent:
+            loop.call_later(0.4, lambda: on_result(None))
+        else:
+            result = None if address in self.inconclusive else address in self.refused
+            loop.call_later(PROBE_S, lambda: on_result(result))
+
+
+class Runners:
+    """A scripted view of the runners."""
+
+    def __init__(self):
+        self.unlisted = set()
+        self.restarted = set()
+        self.listed_at = {}
+        self.connected = set()
+
+    def view(self):
+        return RunnerView(
+            is_listed=lambda state: state.runner.instance not in self.unlisted,
+            has_restarted=lambda runner: runner.instance in self.restarted,
+            instances_at=lambda address: self.listed_at.get(address, []),
+            has_connection=lambda instance: instance in self.connected,
+            count=lambda: 8,
+        )
+
+
+def crash_tracker(loop, probes=None, runners=None, broadcast=lambda _update: None):
+    """Return the crash tracker of one router."""
+    return CrashTracker(loop, (runners or Runners()).view(), broadcast, probes or Probes())
+
+
+def request(body=b"b", method=b"POST", target=b"/a/x"):
+    """Return a caller's request."""
+    return HttpRequest(method, target, [], body, 0.0)
+
+
+def admitted(tenant="t", host="a.example", **changes):
+    """Return an admitted request."""
+    call = Call(b"r1", host, "/a/x", b"k1", 3.0, None, (), 0, 0)
+    tenant_entry = None if tenant is None else Tenant(tenant, 1, False)
+    return AdmittedRequest(call, route(**changes), tenant_entry, "s", 103.0, 102.0)
--- a/tests/router/test_forwarding.py
+++ b/tests/router/test_forwarding.py
@@ -6,7 +6,7 @@
 from martenrun.net.http import HttpRequest
 from martenrun.platform import PLATFORM_ADAPTER
 from martenrun.router import request_trace
-from martenrun.router.fingerprint import fingerprint
+from martenrun.router.fingerprint import request_fingerprint
 from martenrun.router.forwarding import RequestForwarder
 from martenrun.router.messages import AdmittedRequest, Call, PromptPart, RouteKind, TargetWeights
 from martenrun.router.placement import Placement
@@ -15,8 +15,8 @@
 from martenrun.router.store_state import ConfigurationState, RunnerDirectory, WeightsState
 from martenrun.router.tuning import DEFAULTS
 
-from .blame_world import Probes, suspects
 from .builders import bounds, configuration, route, state
+from .crash_world import Probes, crash_tracker
 from .fakes import FakeLoop
 
 PARTS = (PromptPart(b"aa", 100), PromptPart(b"bb", 10))
@@ -139,7 +139,7 @@
             weights=self.weights,
             pool=self.pool,
             placement=Placement(),
-            suspects=suspects(self.loop, self.probes),
+            suspects=crash_tracker(self.loop, self.probes),
             router_count=lambda: 1,
             record_outcome=lambda outcome, _route, _seconds: self.outcomes.append(outcome),
             is_store_available=lambda _store: True,
@@ -333,9 +333,9 @@
     """Return a setup that records crashes of earlier runner instances under the request."""
 
     def record_crashes(case):
-        request_fingerprint = fingerprint(case.exchange.request, case.forwarder.admitted)
+        request_fingerprint = request_fingerprint(case.exchange.request, case.forwarder.admitted)
         for number in range(crashes):
-            case.services.suspects.table.note_ended(
+            case.services.suspects.table.record_crash(
                 request_fingerprint, f"gone-{number}", case.loop.now()
             )
         if runner_crashes:
@@ -368,9 +368,9 @@
 
 def test_a_complete_run_clears_the_crash_records_of_a_request():
     case = ForwardingCase([GOOD], setup=with_crash_records(2)).run(0.1)
-    request_fingerprint = fingerprint(case.exchange.request, case.forwarder.admitted)
+    request_fingerprint = request_fingerprint(case.exchange.request, case.forwarder.admitted)
     assert case.outcomes == ["served"]
-    assert case.services.suspects.table.starts(request_fingerprint) == 0
+    assert case.services.suspects.table.crash_count(request_fingerprint) == 0
 
 
 def test_all_routers_send_a_suspect_request_to_the_same_runner():
@@ -391,5 +391,5 @@
     case.services.runners.put(case.states[0].runner)
     case.services.runners.put(state("i-0~2", name="i-0").runner)
     case.forwarder.move_off_replaced_runner()
-    request_fingerprint = fingerprint(case.exchange.request, case.forwarder.admitted)
-    assert case.services.suspects.table.starts(request_fingerprint) == 1
+    request_fingerprint = request_fingerprint(case.exchange.request, case.forwarder.admitted)
+    assert case.services.suspects.table.crash_count(request_fingerprint) == 1
--- a/tests/router/unguarded_router.py
+++ b/tests/router/unguarded_router.py
@@ -89,16 +89,16 @@
 
 def block_no_requests():
     """Send requests to runners however many have crashed while serving them."""
-    from martenrun.router.blame_table import BlameTable
+    from martenrun.router.crash_table import CrashTable
 
-    BlameTable.held_for_s = lambda self, fingerprint, now: 0.0
+    CrashTable.blocked_for_s = lambda self, fingerprint, now: 0.0
 
 
 def grant_all_requests():
     """Grant tenants everything that they request."""
-    from martenrun.router.quotas.account import Account, Verdict
+    from martenrun.router.quotas.account import Account, QuotaDecision
 
-    Account.ask = lambda self, grant, units, now: Verdict(True)
+    Account.request = lambda self, grant, units, now: QuotaDecision(True)
 
 
 def ignore_runner_limits():
