--- a/tests/router/test_forwarding.py
+++ b/tests/router/test_forwarding.py
@@ -333,10 +333,10 @@
     """Return a setup that records crashes of earlier runner instances under the request."""
 
     def record_crashes(case):
-        request_fingerprint = request_fingerprint(case.exchange.request, case.forwarder.admitted)
+        fingerprint = request_fingerprint(case.exchange.request, case.forwarder.admitted)
         for number in range(crashes):
             case.services.suspects.table.record_crash(
-                request_fingerprint, f"gone-{number}", case.loop.now()
+                fingerprint, f"gone-{number}", case.loop.now()
             )
         if runner_crashes:
             case.probes.refused.add(case.states[0].runner.address)
@@ -368,9 +368,9 @@
 
 def test_a_complete_run_clears_the_crash_records_of_a_request():
     case = ForwardingCase([GOOD], setup=with_crash_records(2)).run(0.1)
-    request_fingerprint = request_fingerprint(case.exchange.request, case.forwarder.admitted)
+    fingerprint = request_fingerprint(case.exchange.request, case.forwarder.admitted)
     assert case.outcomes == ["served"]
-    assert case.services.suspects.table.crash_count(request_fingerprint) == 0
+    assert case.services.suspects.table.crash_count(fingerprint) == 0
 
 
 def test_all_routers_send_a_suspect_request_to_the_same_runner():
@@ -391,5 +391,5 @@
     case.services.runners.put(case.states[0].runner)
     case.services.runners.put(state("i-0~2", name="i-0").runner)
     case.forwarder.move_off_replaced_runner()
-    request_fingerprint = request_fingerprint(case.exchange.request, case.forwarder.admitted)
-    assert case.services.suspects.table.crash_count(request_fingerprint) == 1
+    fingerprint = request_fingerprint(case.exchange.request, case.forwarder.admitted)
+    assert case.services.suspects.table.crash_count(fingerprint) == 1
